--- a/src/coralfall/traffic/exchange.py
+++ b/src/coralfall/traffic/exchange.py
@@ -157,7 +157,9 @@
         """
         if not self._members.alive():
             return True
-        patience = defaults.GOSSIP_DIFFER_S * (1 + self._members.count() / _MEMBERS_PER_PATIENCE)
+        patience = defaults.GOSSIP_FULL_SYNC_DELAY_S * (
+            1 + self._members.count() / _MEMBERS_PER_PATIENCE
+        )
         if self._differs_since is None or now - self._differs_since < patience:
             return False
         self._differs_since = now
