--- a/src/coralfall/traffic/delta.py
+++ b/src/coralfall/traffic/delta.py
@@ -1,7 +1,7 @@
-"""Deltas: what changed in a replica between two revisions, as entries tell each other.
+"""Deltas: the rows of a replica that changed between two revisions, as entries send them.
 
-Rows are much alike, so many of them are packed: a thousand targets are over 200 KB plain and under
-20 KB packed, and each entry that starts needs them all.
+Rows resemble each other, so longer deltas are compressed: a thousand targets take over 200 KB plain
+and under 20 KB compressed, and each entry that starts needs them all.
 """
 
 import typing as t
@@ -12,14 +12,14 @@
 from ..exceptions import PeerFrameError
 from ..ids import Revision
 
-#: Bytes of rows from which on they are packed, and the most that they may unpack to.
-_PACK_BYTES = 2048
-_MAX_UNPACKED_BYTES = 64 * 1024 * 1024
-_LEVEL = 1
+#: Size in bytes from which on rows are compressed, and the most that they may expand to.
+_COMPRESS_BYTES = 2048
+_MAX_EXPANDED_BYTES = 64 * 1024 * 1024
+_COMPRESSION_LEVEL = 1
 
 
 class DeltaRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row of a delta; ``value`` is ``None`` if it was deleted."""
+    """A row of a delta; ``value`` is ``None`` if the row was deleted."""
 
     key: str
     revision: Revision
@@ -33,40 +33,40 @@
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True):
-    """What changed between two revisions, or all rows if ``since`` is 0.
+    """The rows that changed between two revisions, or all rows if ``since`` is 0.
 
     Made by :func:`pack`.
     """
 
     since: Revision
     revision: Revision
-    #: Rows in msgpack.
+    #: The rows as msgpack.
     rows: bytes
-    #: Whether they are compressed.
+    #: Whether ``rows`` is compressed by zlib.
     packed: bool
 
     def unpack(self) -> Rows:
-        """The rows.
+        """Returns the decoded rows.
 
-        :raises PeerFrameError: if they can't be read.
+        :raises PeerFrameError: if they can't be decompressed or decoded.
         """
         try:
-            return _decoder.decode(_unpacked(self.rows) if self.packed else self.rows)
+            return _decoder.decode(_decompressed(self.rows) if self.packed else self.rows)
         except (zlib.error, msgspec.MsgspecError) as error:
-            raise PeerFrameError(f"rows of a delta can't be read: {error}") from error
+            raise PeerFrameError(f"can't decode the rows of a delta: {error}") from error
 
 
 def pack(since: Revision, revision: Revision, rows: t.Sequence[DeltaRow]) -> Delta:
-    """A delta with these rows."""
+    """Returns a delta with these rows, compressed if they are long."""
     content = _encoder.encode(rows)
-    if len(content) < _PACK_BYTES:
+    if len(content) < _COMPRESS_BYTES:
         return Delta(since, revision, content, False)
-    return Delta(since, revision, zlib.compress(content, _LEVEL), True)
+    return Delta(since, revision, zlib.compress(content, _COMPRESSION_LEVEL), True)
 
 
-def _unpacked(content: bytes) -> bytes:
+def _decompressed(content: bytes) -> bytes:
     reader = zlib.decompressobj()
-    found = reader.decompress(content, _MAX_UNPACKED_BYTES)
+    expanded = reader.decompress(content, _MAX_EXPANDED_BYTES)
     if not reader.eof:
-        raise zlib.error(f"cut off, or longer than {_MAX_UNPACKED_BYTES} bytes")
-    return found
+        raise zlib.error(f"truncated, or expands to more than {_MAX_EXPANDED_BYTES} bytes")
+    return expanded
--- a/src/coralfall/traffic/follower.py
+++ b/src/coralfall/traffic/follower.py
@@ -1,9 +1,10 @@
-"""Follower: keeps one replica up to date from the platform's store, on behalf of all entries.
+"""Follower: keeps one replica up to date from the platform's store, on behalf of the fleet.
 
-There is no election. Each entry waits until what it knows has reached an age that depends on its
-rank among the live entries, then reads for itself and hands what it read to the others. As long as
-the first in rank reads, nobody else's knowledge grows old; when it stops, the next one's does. One
-far down reads when word reaches it late, over a choked link say; what it read is no news to others.
+No leader is elected. Each entry waits until its replica has reached an age that depends on its rank
+among the live entries, then reads the store itself and pushes what it read to the others. As long
+as the first in rank reads, no other entry's replica grows old enough; when it stops, that of the
+next in rank does. An entry of low rank reads if updates reach it late, over a congested link for
+example; it does not push what it read, since the others know it already.
 """
 
 import asyncio
@@ -23,31 +24,31 @@
     from .replica import Replica
     from .store_clock import StoreClock
 
-#: Seconds between two looks at the age of what is known.
-_LOOK_S = 0.05
-#: Pauses after a failed read, in seconds, for the first in rank.
-_MIN_PAUSE_S = 0.2
-_MAX_PAUSE_S = 1.0
-#: Longest pause of those far down, who are told of the store's return by the first.
-_MAX_FAR_PAUSE_S = 5.0
+#: Seconds between two checks of the replica's age.
+_CHECK_INTERVAL_S = 0.05
+#: Backoff after failed reads, in seconds, for the first in rank.
+_MIN_BACKOFF_S = 0.2
+_MAX_BACKOFF_S = 1.0
+#: Longest backoff of entries of low rank, which learn from the first ones that the store is back.
+_MAX_LOW_RANK_BACKOFF_S = 5.0
 
 
 class Follower:
     """Follows the rows below a prefix.
 
-    :param prefix: of the rows.
-    :param replica: what is known of them.
-    :param feed: the platform's store.
-    :param members: tells this entry's rank.
-    :param clock: tells the time.
-    :param store_clock: tells how old knowledge is.
-    :param rng: varies the pauses.
+    :param prefix: prefix of the rows' keys.
+    :param replica: where the rows are kept.
+    :param feed: reads the platform's store.
+    :param members: gives this entry's rank.
+    :param clock: monotonic time.
+    :param store_clock: gives the replica's age.
+    :param rng: jitter of the pauses.
     :param pace: ages at which rows are read.
-    :param held: whether the store may hold a read until something changes.
-    :param before: told how old the knowledge was, before rows are taken in.
-    :param changed: told which keys changed.
-    :param hand_on: told the revision before, when the others are to learn what was read.
-    :param patience_s: seconds for which a start waits for others to tell the rows.
+    :param long_poll: whether the first in rank lets the store hold a read until a row changes.
+    :param before_apply: called with the replica's age in seconds before rows are applied.
+    :param on_changed: called with the keys that changed.
+    :param push_since: called with the revision before the read, to push what was read.
+    :param initial_wait_s: seconds for which a start waits for other entries to send the rows.
     """
 
     def __init__(
@@ -60,13 +61,13 @@
         store_clock: "StoreClock",
         rng: random.Random,
         pace: "Pace",
-        held: bool,
-        before: t.Callable[[float], None],
-        changed: t.Callable[[t.Set[str]], None],
-        hand_on: "t.Callable[[Revision], None]",
-        patience_s: float = 0.0,
+        long_poll: bool,
+        before_apply: t.Callable[[float], None],
+        on_changed: t.Callable[[t.Set[str]], None],
+        push_since: "t.Callable[[Revision], None]",
+        initial_wait_s: float = 0.0,
     ) -> None:
-        #: What logs and metrics call it.
+        #: Name of the rows in logs and metrics.
         self.name = replica.name
         self._prefix = prefix
         self._replica = replica
@@ -77,46 +78,50 @@
         self._rng = rng
         #: Ages at which rows are read.
         self.pace = pace
-        self._held = held
-        self._before = before
-        self._changed = changed
-        self._hand_on = hand_on
-        self._patience_s = patience_s
-        self._failures = 0
-        #: Reads so far, and those that failed.
+        self._long_poll = long_poll
+        self._before_apply = before_apply
+        self._on_changed = on_changed
+        self._push_since = push_since
+        self._initial_wait_s = initial_wait_s
+        self._consecutive_failures = 0
+        #: Reads so far, and those of them that failed.
         self.reads = 0
         self.failed_reads = 0
 
     async def run(self) -> None:
-        """Read when it is this entry's turn, for ever."""
-        await self._wait_for_others()
+        """Reads whenever it is this entry's turn, until cancelled."""
+        await self._wait_for_other_entries()
         while True:
             await self._wait_for_turn()
             try:
                 await self.read()
             except PlatformError as error:
                 self._note_failure(error)
-                await asyncio.sleep(self._pause_s() * self._rng.uniform(0.7, 1.0))
+                await asyncio.sleep(self._backoff_s() * self._rng.uniform(0.7, 1.0))
 
-    def _pause_s(self) -> float:
-        """How long to leave the store alone after failures; the longer the further down in rank.
+    def _backoff_s(self) -> float:
+        """Returns the pause after a failed read; it is longer for entries of lower rank.
 
-        The first ones ask often: all know of the store's return soon, and few calls are made.
+        The first ones retry often, so that the fleet soon learns that the store is back, at the
+        cost of few calls.
         """
-        pause = min(_MIN_PAUSE_S * 2.0 ** min(self._failures, 4), _MAX_PAUSE_S)
-        return min(pause * (1 + self._members.rank() / defaults.HANDING_RANKS), _MAX_FAR_PAUSE_S)
+        backoff_s = min(_MIN_BACKOFF_S * 2.0 ** min(self._consecutive_failures, 4), _MAX_BACKOFF_S)
+        return min(
+            backoff_s * (1 + self._members.rank() / defaults.HANDING_RANKS),
+            _MAX_LOW_RANK_BACKOFF_S,
+        )
 
     async def read(self) -> None:
-        """Read once and hand on what was read.
+        """Reads the store once, applies the rows and pushes them to other entries.
 
-        :raises PlatformError: if the store gave no answer.
+        :raises PlatformError: if the store did not answer.
         """
         since = self._replica.revision
         if not since:
             await self._read_all(since)
             return
         began = self._clock.monotonic()
-        wait_s = self._wait()
+        wait_s = self._wait_s()
         self.reads += 1
         try:
             changes = await self._feed.follow(self._prefix, since, wait_s)
@@ -124,61 +129,63 @@
             log.info("store.history-lost", rows=self._replica.name, since=since)
             await self._read_all(since)
             return
-        self._before(self._age())
+        self._before_apply(self._age_s())
         read_s = self._note_answer(changes, began, wait_s)
-        self._tell(self._replica.apply_changes(changes.rows, changes.revision, read_s), since)
+        self._publish(self._replica.apply_changes(changes.rows, changes.revision, read_s), since)
 
     async def _read_all(self, since: "Revision") -> None:
         began = self._clock.monotonic()
         self.reads += 1
         changes = await self._feed.snapshot(self._prefix)
-        self._before(self._age())
+        self._before_apply(self._age_s())
         read_s = self._note_answer(changes, began, 0.0)
-        self._tell(self._replica.apply_snapshot(changes.rows, changes.revision, read_s), since)
+        self._publish(self._replica.apply_snapshot(changes.rows, changes.revision, read_s), since)
 
-    def _tell(self, changed: t.Set[str], since: "Revision") -> None:
-        self._changed(changed)
-        # All rows are long; whoever lacks them asks for them once. Handed on by each that starts,
-        # they came to every one of 12 or 195 entries eight times (virtual time, 20 ms a message).
+    def _publish(self, changed: t.Set[str], since: "Revision") -> None:
+        self._on_changed(changed)
+        # A first snapshot is not pushed. It is long, and an entry that lacks it requests it once;
+        # pushed by every entry that starts, it reached each of 12 or 195 entries eight times if a
+        # message takes 20 ms.
         if since and self._members.rank() < defaults.HANDING_RANKS:
-            self._hand_on(since)
+            self._push_since(since)
 
-    def _wait(self) -> float:
-        return self.pace.interval_s if self._held and self._members.rank() == 0 else 0.0
+    def _wait_s(self) -> float:
+        return self.pace.interval_s if self._long_poll and self._members.rank() == 0 else 0.0
 
     def _note_answer(self, changes: "Changes", began: float, wait_s: float) -> float:
-        """Time of the store's clock at which the rows of an answer were so."""
+        """Returns the time of the store's clock as of which the rows of an answer are valid."""
         self._note_success()
         self._store_clock.observe(began, changes.now)
-        # The pages don't say whether a slow store stamps its answer when it looks or when it sends.
+        # The platform does not specify whether a slow store stamps an answer when it reads the rows
+        # or when it sends them, so the delay beyond the requested wait is subtracted.
         return changes.now - max(0.0, self._clock.monotonic() - began - wait_s)
 
-    async def _wait_for_others(self) -> None:
-        """Give others, who may know the rows, the time to tell them."""
-        until = self._clock.monotonic() + self._patience_s
+    async def _wait_for_other_entries(self) -> None:
+        """Waits for other entries that know the rows to send them, for a limited time."""
+        until = self._clock.monotonic() + self._initial_wait_s
         while self._clock.monotonic() < until:
             if self._replica.is_loaded:
                 return
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
 
     async def _wait_for_turn(self) -> None:
         while True:
-            age = self._age()
-            due = self.pace.due_s(self._members.rank(), self._held)
-            if age >= due:
+            age_s = self._age_s()
+            due_s = self.pace.due_s(self._members.rank(), self._long_poll)
+            if age_s >= due_s:
                 return
-            await asyncio.sleep(max(_LOOK_S, due - age))
+            await asyncio.sleep(max(_CHECK_INTERVAL_S, due_s - age_s))
 
-    def _age(self) -> float:
+    def _age_s(self) -> float:
         return self._store_clock.age_s(self._replica.read_s)
 
     def _note_failure(self, error: PlatformError) -> None:
-        self._failures += 1
+        self._consecutive_failures += 1
         self.failed_reads += 1
-        if self._failures == 1:
+        if self._consecutive_failures == 1:
             log.warning("store.lost", rows=self._replica.name, code=error.code, error=error.message)
 
     def _note_success(self) -> None:
-        if self._failures:
-            log.info("store.regained", rows=self._replica.name, failures=self._failures)
-        self._failures = 0
+        if self._consecutive_failures:
+            log.info("store.regained", rows=self._replica.name, failures=self._consecutive_failures)
+        self._consecutive_failures = 0
--- a/src/coralfall/traffic/gossip.py
+++ b/src/coralfall/traffic/gossip.py
@@ -1,8 +1,9 @@
-"""Gossip: entries tell each other who is alive, and hand on what one of them read in the store.
+"""Gossip: entries exchange membership updates, and pass on rows that one of them read in the store.
 
-Every round an entry exchanges news with a few others; either side learns what it lacks. What was
-just read is pushed at once: to a few entries, each of which hands it on to its part of the rest;
-so are suspicions, refutations and entries that come and go. See :mod:`.members` for these.
+In every round an entry exchanges messages with a few others, and each side learns what it lacks
+(push-pull anti-entropy). Rows that were just read are pushed at once along a relay tree: to a few
+entries, each of which relays them to its part of the rest. So are suspicions, refutations, and
+entries that join and leave. See :mod:`.members` for the membership protocol.
 """
 
 import asyncio
@@ -31,17 +32,17 @@
     from .permits import Permits
 
 
-#: Seconds for which news of entries are gathered before they are pushed.
-_GATHER_S = 0.05
+#: Seconds for which membership updates are collected before one push carries them.
+_PUSH_DELAY_S = 0.05
 
 
 class GossipServer(PeerListener):
-    """Answers the other entries.
+    """Answers messages of other entries.
 
-    :param exchange: what to tell and what to take in.
-    :param relay: hands a push on.
-    :param pull: asks an entry that knows more.
-    :param permits: grants what others ask for.
+    :param exchange: builds and applies gossip messages.
+    :param relay: passes a pushed message on to other entries.
+    :param pull: exchanges messages with an entry that has newer rows.
+    :param permits: answers requests for permits.
     """
 
     def __init__(
@@ -74,18 +75,18 @@
             return None
         if isinstance(message, PermitRequest):
             return self._permits.answer(peer, message)
-        raise PeerFrameError(f"{peer.entry_id} sent {type(message).__name__} unasked")
+        raise PeerFrameError(f"unexpected message {type(message).__name__} from {peer.entry_id}")
 
 
 class Gossip(Child):
-    """Exchanges news with other entries, in rounds and when there is something new.
-
-    :param exchange: what to tell and what to take in.
-    :param members: the entries.
-    :param links: streams to them.
-    :param seeds: addresses to ask at the start.
-    :param clock: tells the time.
-    :param rng: varies the rounds.
+    """Exchanges messages with other entries, in rounds and when there is an update to push.
+
+    :param exchange: builds and applies gossip messages.
+    :param members: the entries of the fleet.
+    :param links: streams to other entries.
+    :param seeds: addresses of entries to contact while no other is known to be alive.
+    :param clock: monotonic time.
+    :param rng: jitter of the rounds.
     """
 
     name = "gossip"
@@ -106,54 +107,55 @@
         self._clock = clock
         self._rng = rng
         self._tasks: t.Set[asyncio.Task[None]] = set()
-        self._asking: t.Set[str] = set()
-        #: Whether an exchange is under way that is to bring all rows.
-        self._pulling = False
-        self._pushing: t.Optional[asyncio.TimerHandle] = None
-        self._may_push_at = -float("inf")
-        members.on_update = self._push_soon
-        exchange.quarantine.on_news = self._push_soon
-        exchange.reports.limits.on_news = self._push_soon
-        exchange.reports.departures.on_news = self._push_soon
+        #: Addresses with an exchange in flight.
+        self._addresses_in_flight: t.Set[str] = set()
+        #: Whether an exchange in flight is to bring all rows.
+        self._is_loading_rows = False
+        self._push_timer: t.Optional[asyncio.TimerHandle] = None
+        self._next_push_at = -float("inf")
+        members.on_update = self._schedule_push
+        exchange.quarantine.on_news = self._schedule_push
+        exchange.reports.limits.on_news = self._schedule_push
+        exchange.reports.departures.on_news = self._schedule_push
 
     async def run(self) -> None:
         try:
             while True:
                 self._members.start_round()
                 for record in self._members.choose_peers(defaults.GOSSIP_FANOUT):
-                    self._ask(record.peer_address)
+                    self._start_exchange(record.peer_address)
                 if not self._members.alive_records():
-                    self._ask_all()
-                await asyncio.sleep(self._pause_s() * self._rng.uniform(0.9, 1.1))
+                    self._rejoin()
+                await asyncio.sleep(self._interval_s() * self._rng.uniform(0.9, 1.1))
         finally:
-            if self._pushing is not None:
-                self._pushing.cancel()
+            if self._push_timer is not None:
+                self._push_timer.cancel()
             for task in self._tasks:
                 task.cancel()
             await self._links.close()
 
-    def _pause_s(self) -> float:
+    def _interval_s(self) -> float:
         if self._exchange.state_view.has_rows:
             return defaults.GOSSIP_S
         return defaults.GOSSIP_START_S
 
     def pull(self, entry_id: "EntryId") -> None:
-        """Ask an entry that knows more."""
+        """Exchanges messages with an entry that has newer rows."""
         address = self._members.address_of(entry_id)
         if address is not None:
-            self._ask(address)
+            self._start_exchange(address)
 
     def push(self, state_since: "Revision", targets_since: "Revision") -> None:
-        """Tell all live entries what came after these revisions."""
-        news = self._exchange.news(state_since, targets_since)
+        """Pushes rows written after these revisions to all live entries, with recent updates."""
+        message = self._exchange.news(state_since, targets_since)
         turn = int(self._clock.monotonic() / defaults.RELAY_TURN_S)
-        ordered = in_relay_order(
+        ordered = relay_order(
             self._members.alive_records(), self._members.own_record.entry_id, turn
         )
-        self.relay(news, [record.entry_id for record in ordered])
+        self.relay(message, [record.entry_id for record in ordered])
 
-    def relay(self, news: GossipMessage, entry_ids: "t.Sequence[EntryId]") -> None:
-        """Hand news on to these entries, through a few of them."""
+    def relay(self, message: GossipMessage, entry_ids: "t.Sequence[EntryId]") -> None:
+        """Sends a message to the first few of these entries, which relay it to the others."""
         if not entry_ids:
             return
         parts = min(defaults.RELAY_FANOUT, len(entry_ids))
@@ -161,61 +163,66 @@
             part = entry_ids[number::parts]
             address = self._members.address_of(part[0])
             if address is not None:
-                push = Push(news=news, relay=tuple(part[1:]))
-                self._spawn(self._post(address, push))
+                push = Push(news=message, relay=tuple(part[1:]))
+                self._spawn(self._send_push(address, push))
 
-    def _push_soon(self, at_once: bool) -> None:
-        """Push news of entries; while many change at once they wait, and rounds carry them."""
-        if self._pushing is not None:
+    def _schedule_push(self, at_once: bool) -> None:
+        """Schedules a push of updates; beyond the rate limit they wait, and rounds carry them.
+
+        :param at_once: whether the rate limit does not apply.
+        """
+        if self._push_timer is not None:
             if not at_once:
                 return
-            self._pushing.cancel()
-        wait_s = _GATHER_S
+            self._push_timer.cancel()
+        delay_s = _PUSH_DELAY_S
         if not at_once:
-            wait_s = max(wait_s, self._may_push_at - self._clock.monotonic())
-        self._pushing = asyncio.get_running_loop().call_later(wait_s, self._push_members)
+            delay_s = max(delay_s, self._next_push_at - self._clock.monotonic())
+        self._push_timer = asyncio.get_running_loop().call_later(delay_s, self._push_updates)
 
-    def _push_members(self) -> None:
-        self._pushing = None
-        pause = (len(self._members.alive_records()) + 1) / defaults.MEMBER_PUSHES_PER_S
-        self._may_push_at = self._clock.monotonic() + pause
+    def _push_updates(self) -> None:
+        self._push_timer = None
+        pause_s = (len(self._members.alive_records()) + 1) / defaults.MEMBER_PUSHES_PER_S
+        self._next_push_at = self._clock.monotonic() + pause_s
         state_view = self._exchange.state_view
         self.push(state_view.state_rows.revision, state_view.target_rows.revision)
 
-    def _ask_all(self) -> None:
+    def _rejoin(self) -> None:
         for address in self.seeds:
-            self._ask(address)
+            self._start_exchange(address)
         for entry_id in sorted(self._members.known_ids(), key=lambda _: self._rng.random())[:8]:
             self.pull(entry_id)
 
-    def _ask(self, address: str) -> None:
-        if address in self._asking or address == self._members.own_record.peer_address:
+    def _start_exchange(self, address: str) -> None:
+        if address in self._addresses_in_flight or address == self._members.own_record.peer_address:
             return
-        self._asking.add(address)
-        self._spawn(self._exchange_news(address))
+        self._addresses_in_flight.add(address)
+        self._spawn(self._exchange_messages(address))
 
-    async def _exchange_news(self, address: str) -> None:
+    async def _exchange_messages(self, address: str) -> None:
         wants_rows = self._exchange.state_view.has_rows
         try:
             for _ in range(3):
                 if not await self._exchange_once(address, wants_rows):
                     return
-                # All rows are long: they are asked of one entry at a time, which has just answered.
-                if not wants_rows and self._pulling:
+                # All rows are long: they are requested from one entry at a time, and only from one
+                # that has just answered.
+                if not wants_rows and self._is_loading_rows:
                     return
                 wants_rows = True
         except PeerError as error:
             if self._exchange.state_view.has_rows:
-                # Until then it starts, perhaps with those that it asks, and blames nobody.
+                # Without rows this entry is still starting, perhaps together with those that it
+                # contacts, so that a missing answer is no reason for a suspicion.
                 self._members.record_probe_failure(address)
             log.debug("peer.not-asked", address=address, code=error.code, error=error.message)
         finally:
-            self._asking.discard(address)
+            self._addresses_in_flight.discard(address)
 
     async def _exchange_once(self, address: str, wants_rows: bool) -> bool:
-        """Ask an entry once; whether it knows more still."""
-        pulling = wants_rows and not self._exchange.state_view.has_rows
-        self._pulling |= pulling
+        """Exchanges one pair of messages; returns whether the other entry has newer rows still."""
+        loads_rows = wants_rows and not self._exchange.state_view.has_rows
+        self._is_loading_rows |= loads_rows
         asked_at = self._clock.monotonic()
         try:
             answer = await self._links.exchange(
@@ -226,12 +233,12 @@
                 kept_s=defaults.GOSSIP_KEPT_S,
             )
         finally:
-            if pulling:
-                self._pulling = False
+            if loads_rows:
+                self._is_loading_rows = False
         self._members.record_probe_success(address)
         return self._exchange.take(answer.message, asked_at)
 
-    async def _post(self, address: str, push: Push) -> None:
+    async def _send_push(self, address: str, push: Push) -> None:
         try:
             await self._links.post(address, push)
         except PeerError as error:
@@ -244,20 +251,21 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def in_relay_order(
+def relay_order(
     records: "t.Sequence[EntryRecord]", root: "EntryId", turn: int
 ) -> "t.List[EntryRecord]":
-    """Entries in the order in which they get a push: the first hand it on, so links count.
+    """Sorts entries for a relay tree: the first ones relay, so wider links come first.
 
-    It stays the same for a while, so that streams are used again, and then others take their turn.
+    Entries with equal links are ordered by a hash. The order stays the same for a turn, so that
+    streams are used again, and then other entries relay.
 
     :param root: the entry that pushes.
-    :param turn: number of the while.
+    :param turn: number of the turn.
     """
     text = f"{root} {turn}"
 
-    def place(record: "EntryRecord") -> t.Tuple[float, bytes]:
+    def sort_key(record: "EntryRecord") -> t.Tuple[float, bytes]:
         digest = hashlib.blake2b(f"{text} {record.entry_id}".encode(), digest_size=8).digest()
         return -record.link_mbps, digest
 
-    return sorted(records, key=place)
+    return sorted(records, key=sort_key)
--- a/src/coralfall/traffic/member.py
+++ b/src/coralfall/traffic/member.py
@@ -1,4 +1,7 @@
-"""Member: what one entry knows of another one, from its own word and from what others say."""
+"""Member: what this entry knows about one other entry, from its gossip records and its suspicions.
+
+Also the view of all live members at one time, and the orders in which members are ranked.
+"""
 
 import functools
 import hashlib
@@ -10,132 +13,138 @@
 if t.TYPE_CHECKING:
     from .model import EntryRecord
 
+#: Incarnation and beat of a record; the greater of two versions is the newer one.
 RecordVersion = t.Tuple[Incarnation, int]
 
 
 class Member:
-    """What is known of one other entry.
+    """State that is kept for one other entry.
 
-    :param record: what it said last.
+    :param record: the newest record of that entry.
     :param now: monotonic time.
-    :param own_id: of the entry that knows it.
+    :param own_id: id of this entry.
     """
 
     __slots__ = (
-        "alive",
         "digest",
         "distance",
-        "heard",
-        "heard_at",
-        "learnt_at",
-        "misses",
-        "place",
+        "failed_probes",
+        "known_by_gossip",
+        "last_heard_at",
+        "read_order",
         "record",
         "suspected_at",
+        "updated_at",
+        "was_alive",
     )
 
     def __init__(self, record: "EntryRecord", now: float, own_id: EntryId) -> None:
-        #: When it was last heard of, by itself or by others.
-        self.heard_at = now
-        #: Since when it is suspected, if it is.
+        #: Monotonic time of the last record of this entry, whichever entry sent it.
+        self.last_heard_at = now
+        #: Monotonic time at which the suspicion began; ``None`` while the entry is not suspected.
         self.suspected_at: t.Optional[float] = None
-        self.take(record, now)
-        #: Whether it was alive when that was last looked at.
-        self.alive = False
-        #: The same for both of two entries; a lower one is nearer.
+        self.update(record, now)
+        #: Whether the entry was alive at the last evaluation; used to log changes.
+        self.was_alive = False
+        #: Distance between the two entries, the same from both sides; lower is nearer.
         pair = " ".join(sorted((own_id, record.entry_id)))
         self.distance = hashlib.blake2b(pair.encode(), digest_size=8).digest()
 
-    def take(self, record: "EntryRecord", now: float) -> None:
-        """Let this be what it said last."""
+    def update(self, record: "EntryRecord", now: float) -> None:
+        """Replaces the record by a newer one, which also ends a suspicion."""
         self.record = record
-        self.digest = digest_of(record)
-        self.place = read_order_key(record)
-        #: When this record was new here.
-        self.learnt_at = self.heard_at = now
+        self.digest = record_digest(record)
+        self.read_order = read_order_key(record)
+        #: Monotonic time at which this record was received.
+        self.updated_at = self.last_heard_at = now
         self.suspected_at = None
-        #: Questions of this entry in a row that it gave no answer to.
-        self.misses = 0
-        #: Whether it, or another entry, told of it; else only its row in the store did.
-        self.heard = True
+        #: Consecutive probes by this entry that were not answered.
+        self.failed_probes = 0
+        #: Whether gossip has told of the entry; false if only its row in the store has.
+        self.known_by_gossip = True
 
     @property
-    def mark(self) -> RecordVersion:
-        """Lifetime and beat of its last word."""
+    def version(self) -> RecordVersion:
+        """Version of the newest record."""
         return self.record.incarnation, self.record.beat
 
-    def learns_from(self, record: "EntryRecord") -> bool:
-        """Whether a record that others tell says more than what is known."""
-        if not self.heard:
+    def is_outdated_by(self, record: "EntryRecord") -> bool:
+        """Whether a gossiped record is to replace the one held.
+
+        An entry that is known only from its row in the store is also replaced by an equal record.
+        """
+        if not self.known_by_gossip:
             return not self.record.is_newer_than(record)
         return record.is_newer_than(self.record)
 
     def suspicion(self, now: float) -> Suspicion:
-        """What others are told of its being suspected."""
+        """Returns the suspicion of this entry in the form in which it is gossiped."""
         record = self.record
         age_s = now - (self.suspected_at if self.suspected_at is not None else now)
         return Suspicion(record.entry_id, record.incarnation, record.beat, age_s)
 
 
 class LiveView:
-    """The entries that are alive at a time; what follows from them is worked out once.
+    """Snapshot of the live entries; values derived from it are computed once, on first use.
 
-    :param own: record of the entry that looks.
-    :param living: the others.
-    :param until: monotonic time at which one of them will be held dead, if it says nothing.
+    :param own_record: record of this entry.
+    :param live: the other live entries.
+    :param valid_until: monotonic time at which the next suspicion times out.
     """
 
-    def __init__(self, own: "EntryRecord", living: t.Sequence[Member], until: float) -> None:
-        self._own = own
-        self._living = living
-        self.until = until
+    def __init__(
+        self, own_record: "EntryRecord", live: t.Sequence[Member], valid_until: float
+    ) -> None:
+        self._own_record = own_record
+        self._live = live
+        self.valid_until = valid_until
 
     @functools.cached_property
     def records(self) -> "t.List[EntryRecord]":
-        """The others' records."""
-        return [known.record for known in self._living]
+        """Records of the other live entries."""
+        return [member.record for member in self._live]
 
     @functools.cached_property
-    def serving(self) -> "t.List[EntryRecord]":
-        """Those that callers may be sent to, the own one included, by id."""
-        found = [record for record in (self._own, *self.records) if _serves(record)]
+    def serving_records(self) -> "t.List[EntryRecord]":
+        """Records of all entries that callers may be sent to, this one included, by id."""
+        found = [record for record in (self._own_record, *self.records) if _is_serving(record)]
         return sorted(found, key=lambda record: record.entry_id)
 
     @functools.cached_property
-    def sum(self) -> int:
-        """See :meth:`.members.Members.sum`."""
-        total = digest_of(self._own)
-        for known in self._living:
-            total ^= known.digest
+    def checksum(self) -> int:
+        """See :meth:`.members.Members.checksum`."""
+        total = record_digest(self._own_record)
+        for member in self._live:
+            total ^= member.digest
         return total
 
     @functools.cached_property
     def rank(self) -> int:
         """See :meth:`.members.Members.rank`."""
-        own = read_order_key(self._own)
+        own_order = read_order_key(self._own_record)
         rank = 0
-        for known in self._living:
-            if known.place < own and known.record.state is EntryState.SERVING:
+        for member in self._live:
+            if member.read_order < own_order and member.record.state is EntryState.SERVING:
                 rank += 1
         return rank
 
 
-def _serves(record: "EntryRecord") -> bool:
+def _is_serving(record: "EntryRecord") -> bool:
     return record.ready and record.state is EntryState.SERVING
 
 
 def read_order_key(record: "EntryRecord") -> t.Tuple[float, bytes]:
-    """Where an entry stands in the order in which entries read for all: wider links first."""
+    """Returns the sort key of the order in which entries read the store: widest link first."""
     digest = hashlib.blake2b(record.entry_id.encode(), digest_size=8).digest()
     return -record.link_mbps, digest
 
 
 def rendezvous_hash(name: str, entry_id: t.Union[EntryId, RegionId]) -> bytes:
-    """Where one stands in the order in which one is chosen for something that has a name."""
+    """Returns the weight of a candidate for a name (rendezvous hashing); the lowest one wins."""
     return hashlib.blake2b(f"{name} {entry_id}".encode(), digest_size=8).digest()
 
 
-def digest_of(record: "EntryRecord") -> int:
-    """A number that stands for an entry and its last word."""
+def record_digest(record: "EntryRecord") -> int:
+    """Returns a 64-bit hash of an entry's id and the version of its record."""
     text = f"{record.entry_id} {record.incarnation} {record.beat}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
--- a/src/coralfall/traffic/members.py
+++ b/src/coralfall/traffic/members.py
@@ -1,14 +1,14 @@
-"""Members: the entries of the fleet, and which of them are alive.
+"""Members: the entries of the fleet and which of them are alive, by the SWIM protocol.
 
-Nobody tells everybody that it lives: that would cost each entry bytes in proportion to the fleet.
-Each entry asks a few others in every round. One that gives no answer is suspected, and the
-suspicion is told to all; a suspect that hears of it raises its beat and tells that. A suspicion
-that is not refuted in time makes an entry dead until it is; whoever talks with it says so. This
-is the scheme of SWIM (Das, Gupta and Motivala, 2002); its indirect probes are the questions that
-a suspect gets from others.
+In every gossip round an entry probes a few others, so that the cost for each entry does not grow
+with the fleet. One that does not answer is suspected, and the suspicion is gossiped to all. A
+suspect that learns of it refutes it by a record with a higher beat. A suspicion that is not refuted
+in time makes the entry dead until it sends a newer record; whoever exchanges messages with it tells
+it so. See SWIM (Das, Gupta and Motivala, 2002); its indirect probes are the probes that other
+entries send to a suspect.
 
-What one round missed is made up for by a sum over all that is known: two entries whose sums go on
-differing tell each other everything.
+Anti-entropy makes up for lost messages: entries compare a checksum over all that they know, and two
+whose checksums go on differing exchange all records.
 """
 
 import heapq
@@ -30,277 +30,308 @@
 
 
 class Members:
-    """Records of all entries, by id.
+    """Membership table: the newest record of each entry, and who is suspected or dead.
 
-    :param own: this entry's record.
-    :param clock: tells the time.
-    :param rng: chooses whom to ask.
+    :param own_record: record of this entry.
+    :param clock: monotonic time.
+    :param rng: chooses the entries to probe.
     """
 
-    def __init__(self, own: "EntryRecord", clock: "Clock", rng: random.Random) -> None:
-        self.own_record = own
+    def __init__(self, own_record: "EntryRecord", clock: "Clock", rng: random.Random) -> None:
+        self.own_record = own_record
         self._clock = clock
         self._rng = rng
         self._members_by_id: t.Dict[EntryId, Member] = {}
         self._ids_by_address: t.Dict[str, t.Set[EntryId]] = {}
-        #: Kept until they change; each is asked for many times a second.
-        self._ids: t.Optional[t.FrozenSet[EntryId]] = None
-        self._present: t.Optional[LiveView] = None
-        self._looked_at = clock.monotonic()
-        #: Whether this process was late itself when it last looked at the time.
-        self._busy = False
-        #: Whether the others were learnt of since this process started.
+        #: Caches, dropped when a member changes; both are read many times a second.
+        self._cached_ids: t.Optional[t.FrozenSet[EntryId]] = None
+        self._cached_view: t.Optional[LiveView] = None
+        self._round_started_at = clock.monotonic()
+        #: Whether the last round began so late that unanswered probes prove nothing.
+        self._is_overloaded = False
+        #: Whether other entries were discovered since this process started.
         self.has_discovered_peers = False
-        #: Called when there is something to tell the others: at once, or when there is room.
+        #: Called when there is an update to gossip: at once, or as soon as the rate limit allows.
         self.on_update: t.Callable[[bool], None] = lambda at_once: None
-        #: Called when this process has slept and may have missed anything.
+        #: Called after this process was paused, and may have missed any message.
         self.on_pause: t.Callable[[], None] = lambda: None
 
     def start_round(self) -> None:
-        """Look at the time, once a round; after a pause of this process, nobody dies of it."""
+        """Updates timers at the start of a gossip round.
+
+        After a pause of this process, suspicions are extended by its length, so that it declares
+        nobody dead because of the pause.
+        """
         now = self._clock.monotonic()
-        pause = now - self._looked_at - defaults.GOSSIP_S
-        self._looked_at = now
-        self._busy = pause > defaults.GOSSIP_S * (defaults.BUSY_ROUNDS - 1)
-        if pause > defaults.ENTRY_SUSPECT_S / 2:
-            log.warning("process.paused", seconds=round(pause, 3))
-            self._excuse(now, pause)
+        pause_s = now - self._round_started_at - defaults.GOSSIP_S
+        self._round_started_at = now
+        self._is_overloaded = pause_s > defaults.GOSSIP_S * (defaults.BUSY_ROUNDS - 1)
+        if pause_s > defaults.ENTRY_SUSPECT_S / 2:
+            log.warning("process.paused", seconds=round(pause_s, 3))
+            self._extend_suspicions(now, pause_s)
             self.on_pause()
-        self._forget(now)
-        self._note_all(self._members_by_id.values(), now)
+        self._forget_dead(now)
+        self._log_transitions(self._members_by_id.values(), now)
 
     def update_own(self, *, ready: t.Optional[bool] = None, leaving: bool = False) -> bool:
-        """Change what this entry says of itself; whether that is news."""
-        own = self.own_record
-        changed = own
+        """Changes this entry's record; returns whether anything changed."""
+        own_record = self.own_record
+        changed = own_record
         if leaving:
             changed = msgspec.structs.replace(changed, state=EntryState.LEAVING)
         if ready is not None:
             changed = msgspec.structs.replace(changed, ready=ready)
-        if changed == own:
+        if changed == own_record:
             return False
-        self._tell(changed, own.beat + 1, at_once=True)
+        self._publish_own(changed, own_record.beat + 1, at_once=True)
         return True
 
     def add_registered(self, record: "EntryRecord") -> None:
-        """Take in an entry from the platform's store, which says nothing of whether it lives."""
+        """Adds an entry from its row in the store; it is dead until gossip tells of it.
+
+        A row does not show whether its entry is alive.
+        """
         if record.entry_id == self.own_record.entry_id:
-            self._outlive(record)
+            self._outbid_incarnation(record)
             return
         if record.entry_id not in self._members_by_id:
             now = self._clock.monotonic()
-            known = self._add(record, now)
-            known.suspected_at = now - self._patience()
-            known.heard = False
+            member = self._add(record, now)
+            member.suspected_at = now - self._suspicion_timeout_s()
+            member.known_by_gossip = False
 
     def merge_records(self, records: "t.Iterable[EntryRecord]") -> None:
-        """Take in records that another entry told."""
+        """Merges records received from another entry; newer ones replace older ones."""
         now = self._clock.monotonic()
-        heard: t.List[Member] = []
+        updated: t.List[Member] = []
         for record in records:
             if record.entry_id == self.own_record.entry_id:
-                self._outlive(record)
+                self._outbid_incarnation(record)
                 continue
-            known = self._members_by_id.get(record.entry_id)
-            if known is None:
-                known = self._add(record, now)
-            elif known.learns_from(record):
-                self._take(known, record, now)
-            heard.append(known)
-        self._note_all(heard, now)
+            member = self._members_by_id.get(record.entry_id)
+            if member is None:
+                member = self._add(record, now)
+            elif member.is_outdated_by(record):
+                self._update(member, record, now)
+            updated.append(member)
+        self._log_transitions(updated, now)
 
     def record_probe_failure(self, address: str) -> None:
-        """Note that an entry was asked and gave no answer; it is asked again, then suspected.
+        """Counts a probe that was not answered; several in a row make the entry a suspect.
 
-        An entry that is late itself blames nobody.
+        Does nothing while this process itself is late, as the answer may merely be unread.
         """
         now = self._clock.monotonic()
-        if self._busy or now - self._looked_at > defaults.GOSSIP_S * defaults.BUSY_ROUNDS:
+        if (
+            self._is_overloaded
+            or now - self._round_started_at > defaults.GOSSIP_S * defaults.BUSY_ROUNDS
+        ):
             return
-        for known in self._members_at(address):
-            if known.suspected_at is not None:
+        for member in self._members_at(address):
+            if member.suspected_at is not None:
                 continue
-            known.misses += 1
-            if known.misses >= defaults.SUSPECT_MISSES:
-                self._suspect(known, 0.0, "own")
+            member.failed_probes += 1
+            if member.failed_probes >= defaults.SUSPECT_MISSES:
+                self._suspect(member, 0.0, "own")
                 self.on_update(False)
 
     def record_probe_success(self, address: str) -> None:
-        """Note that an entry has answered."""
-        for known in self._members_at(address):
-            known.misses = 0
+        """Resets the count of unanswered probes."""
+        for member in self._members_at(address):
+            member.failed_probes = 0
 
     def merge_suspicions(self, suspicions: "t.Iterable[Suspicion]") -> None:
-        """Take in suspicions that another entry told."""
+        """Merges suspicions received from another entry, and refutes one of this entry."""
         for suspicion in suspicions:
-            mark = (suspicion.incarnation, suspicion.beat)
+            version = (suspicion.incarnation, suspicion.beat)
             if suspicion.entry_id == self.own_record.entry_id:
-                self._refute(mark)
+                self._refute(version)
                 continue
-            known = self._members_by_id.get(suspicion.entry_id)
-            if known is not None and known.suspected_at is None and mark >= known.mark:
-                self._suspect(known, suspicion.age_s, "told")
+            member = self._members_by_id.get(suspicion.entry_id)
+            if member is not None and member.suspected_at is None and version >= member.version:
+                self._suspect(member, suspicion.age_s, "told")
 
     def recent_records(self) -> "t.Tuple[EntryRecord, ...]":
-        """The own record and the newest ones that are news still."""
+        """Returns this entry's record and the newest of those updated recently."""
         since = self._clock.monotonic() - defaults.GOSSIP_NEWS_S
-        found = [k for k in self._members_by_id.values() if k.learnt_at > since and k.heard]
-        found.sort(key=lambda known: known.learnt_at, reverse=True)
+        found = [
+            m for m in self._members_by_id.values() if m.updated_at > since and m.known_by_gossip
+        ]
+        found.sort(key=lambda member: member.updated_at, reverse=True)
         newest = found[: defaults.GOSSIP_RECORDS]
-        return (self.own_record, *[known.record for known in newest])
+        return (self.own_record, *[member.record for member in newest])
 
     def all_records(self) -> "t.Tuple[EntryRecord, ...]":
-        """The own record and those of the living."""
+        """Returns this entry's record and those of all other live entries."""
         return (self.own_record, *self.alive_records())
 
     def recent_suspicions(self) -> "t.Tuple[Suspicion, ...]":
-        """Suspicions that are news still."""
+        """Returns suspicions that began recently; a random sample if there are too many."""
         now = self._clock.monotonic()
         since = now - defaults.GOSSIP_NEWS_S
-        found = [k for k in self._doubted() if k.suspected_at and k.suspected_at > since]
+        found = [m for m in self._gossiped_suspects() if m.suspected_at and m.suspected_at > since]
         if len(found) > defaults.GOSSIP_SUSPICIONS:
             found = self._rng.sample(found, defaults.GOSSIP_SUSPICIONS)
-        return tuple([known.suspicion(now) for known in found])
+        return tuple([member.suspicion(now) for member in found])
 
     def suspicions_of(self, address: str) -> "t.Tuple[Suspicion, ...]":
-        """What the entry at an address is to be told that it is suspected of, if it is."""
+        """Returns the suspicions of the entry at an address, which it is to be told of."""
         now = self._clock.monotonic()
-        found = [k for k in self._members_at(address) if k.suspected_at is not None and k.heard]
-        return tuple([known.suspicion(now) for known in found])
+        found = [
+            m for m in self._members_at(address) if m.suspected_at is not None and m.known_by_gossip
+        ]
+        return tuple([member.suspicion(now) for member in found])
 
     def all_suspicions(self) -> "t.Tuple[Suspicion, ...]":
-        """Suspicions, and who is held dead."""
+        """Returns the suspicions of all suspected and dead entries."""
         now = self._clock.monotonic()
-        return tuple([known.suspicion(now) for known in self._doubted()])
+        return tuple([member.suspicion(now) for member in self._gossiped_suspects()])
 
-    def _doubted(self) -> t.List[Member]:
-        """Those that are suspected or held dead, and were heard of once.
+    def _gossiped_suspects(self) -> t.List[Member]:
+        """Returns suspected and dead entries that gossip has told of.
 
-        Others may never have been asked: all that start at once would be held dead falsely, if each
-        were told as suspected by all that had read its row.
+        Entries known only from their rows are left out, since they may never have been probed: if
+        all entries start at once, each would be reported as a suspect by all that read its row, and
+        be declared dead falsely.
         """
-        return [k for k in self._members_by_id.values() if k.suspected_at is not None and k.heard]
+        return [
+            m
+            for m in self._members_by_id.values()
+            if m.suspected_at is not None and m.known_by_gossip
+        ]
 
     def checksum(self) -> int:
-        """A number that two entries share if they agree on who lives and what these last said."""
-        return self._live_view().sum
+        """Returns a checksum over the live entries and the versions of their records.
+
+        Two entries with the same checksum agree on both.
+        """
+        return self._live_view().checksum
 
     def alive_records(self) -> "t.List[EntryRecord]":
-        """Other entries that are alive, leaving ones included."""
+        """Returns records of the other live entries, including those that are leaving."""
         return self._live_view().records
 
     def _live_view(self) -> LiveView:
-        """Who is alive now; worked out anew when it has changed, by a word or by time.
+        """Returns the live entries, recomputed if a member changed or a suspicion timed out.
 
-        The rank and the sum are asked for many times a second, and all entries would be looked at.
+        The rank and the checksum are read many times a second, and computing them visits all
+        entries.
         """
         now = self._clock.monotonic()
-        if self._present is None or now >= self._present.until:
-            self._present = self._compute_live_view(now)
-        return self._present
+        if self._cached_view is None or now >= self._cached_view.valid_until:
+            self._cached_view = self._compute_live_view(now)
+        return self._cached_view
 
     def _compute_live_view(self, now: float) -> LiveView:
-        living: t.List[Member] = []
-        until = float("inf")
-        for known in self._members_by_id.values():
-            if known.suspected_at is None:
-                living.append(known)
-            elif self._is_alive(known, now):
-                living.append(known)
-                until = min(until, known.suspected_at + self._patience())
-        return LiveView(self.own_record, living, until)
+        live: t.List[Member] = []
+        valid_until = float("inf")
+        for member in self._members_by_id.values():
+            if member.suspected_at is None:
+                live.append(member)
+            elif self._is_alive(member, now):
+                live.append(member)
+                valid_until = min(valid_until, member.suspected_at + self._suspicion_timeout_s())
+        return LiveView(self.own_record, live, valid_until)
 
     def suspected_count(self) -> int:
-        """How many entries are suspected and not held dead yet."""
+        """Returns how many entries are suspected but not dead yet."""
         now = self._clock.monotonic()
         return sum(
-            known.suspected_at is not None and self._is_alive(known, now)
-            for known in self._members_by_id.values()
+            member.suspected_at is not None and self._is_alive(member, now)
+            for member in self._members_by_id.values()
         )
 
     def serving_records(self) -> "t.List[EntryRecord]":
-        """Entries that callers may be sent to, this one included if it is one of them."""
-        return self._live_view().serving
+        """Returns records of the entries that callers may be sent to, perhaps with this one."""
+        return self._live_view().serving_records
 
     def known_ids(self) -> t.FrozenSet[EntryId]:
-        """Entries that may be running, however long they were not heard of."""
-        if self._ids is None:
-            self._ids = frozenset((self.own_record.entry_id, *self._members_by_id))
-        return self._ids
+        """Returns ids of all entries that may be running, dead ones included until forgotten."""
+        if self._cached_ids is None:
+            self._cached_ids = frozenset((self.own_record.entry_id, *self._members_by_id))
+        return self._cached_ids
 
     def fleet_size(self) -> int:
-        """How many entries share what is allowed to all; the dead count until forgotten."""
+        """Returns how many entries share limits that hold for the fleet.
+
+        Dead entries count until they are forgotten.
+        """
         return len(self._members_by_id) + 1
 
     def address_of(self, entry_id: EntryId) -> t.Optional[str]:
-        """Where an entry takes messages of others."""
-        known = self._members_by_id.get(entry_id)
-        return known.record.peer_address if known is not None else None
+        """Returns the address at which an entry takes messages of others."""
+        member = self._members_by_id.get(entry_id)
+        return member.record.peer_address if member is not None else None
 
     def choose_peers(self, count: int) -> "t.List[EntryRecord]":
-        """Entries to ask in a round: live ones, and one of those that are held dead.
+        """Chooses the entries to probe in a round: live ones, and one that is dead.
 
-        Each suspect is asked by a few of all entries, so that it hears of the suspicion.
+        Each suspect is probed by a few entries of the fleet, so that it learns of the suspicion.
+
+        :param count: how many trusted entries are probed while none is suspected.
         """
-        living = [known for known in self._members_by_id.values() if known.alive]
-        trusted = self._neighbours([known for known in living if known.suspected_at is None])
-        # Where some were lost, others may have been lost with them.
-        suspected = sum(known.suspected_at is not None for known in living)
+        live = [member for member in self._members_by_id.values() if member.was_alive]
+        trusted = self._neighbours([member for member in live if member.suspected_at is None])
+        # More probes while some are suspected: others may have failed together with them.
+        suspected = sum(member.suspected_at is not None for member in live)
         count += min(suspected, defaults.MAX_EXTRA_ASKED)
         chosen = self._rng.sample(trusted, min(count, len(trusted)))
-        missed = [k.record for k in living if k.misses and k.suspected_at is None]
-        chosen += [record for record in missed if record not in chosen][: defaults.MAX_EXTRA_ASKED]
-        suspects = [known.record for known in living if known.suspected_at is not None]
+        retried = [m.record for m in live if m.failed_probes and m.suspected_at is None]
+        chosen += [record for record in retried if record not in chosen][: defaults.MAX_EXTRA_ASKED]
+        suspects = [member.record for member in live if member.suspected_at is not None]
         self._rng.shuffle(suspects)
         for record in suspects[: defaults.MAX_SUSPECTS_ASKED]:
-            if self._rng.random() < defaults.SUSPECT_ASKERS / len(living):
+            if self._rng.random() < defaults.SUSPECT_ASKERS / len(live):
                 chosen.append(record)
-        silent = [known.record for known in self._members_by_id.values() if not known.alive]
-        if silent:
-            chosen.append(self._rng.choice(silent))
+        dead = [member.record for member in self._members_by_id.values() if not member.was_alive]
+        if dead:
+            chosen.append(self._rng.choice(dead))
         return chosen
 
     def _neighbours(self, trusted: "t.Sequence[Member]") -> "t.List[EntryRecord]":
-        """The nearest of them; they have this entry as a neighbour too, for the most part."""
+        """Returns the nearest entries; the relation is mostly mutual, as distances are."""
         nearest = heapq.nsmallest(
-            defaults.GOSSIP_NEIGHBOURS, trusted, key=lambda known: known.distance
+            defaults.GOSSIP_NEIGHBOURS, trusted, key=lambda member: member.distance
         )
-        return [known.record for known in nearest]
+        return [member.record for member in nearest]
 
     def _add(self, record: "EntryRecord", now: float) -> Member:
-        known = self._members_by_id[record.entry_id] = Member(record, now, self.own_record.entry_id)
+        member = self._members_by_id[record.entry_id] = Member(
+            record, now, self.own_record.entry_id
+        )
         self._ids_by_address.setdefault(record.peer_address, set()).add(record.entry_id)
-        self._ids = self._present = None
-        return known
+        self._cached_ids = self._cached_view = None
+        return member
 
-    def _take(self, known: Member, record: "EntryRecord", now: float) -> None:
-        self._unlist(known)
+    def _update(self, member: Member, record: "EntryRecord", now: float) -> None:
+        self._remove_address(member)
         self._ids_by_address.setdefault(record.peer_address, set()).add(record.entry_id)
-        known.take(record, now)
-        self._present = None
-
-    def _unlist(self, known: Member) -> None:
-        record = known.record
-        listed = self._ids_by_address[record.peer_address]
-        listed.discard(record.entry_id)
-        if not listed:
+        member.update(record, now)
+        self._cached_view = None
+
+    def _remove_address(self, member: Member) -> None:
+        record = member.record
+        ids = self._ids_by_address[record.peer_address]
+        ids.discard(record.entry_id)
+        if not ids:
             del self._ids_by_address[record.peer_address]
 
     def _members_at(self, address: str) -> t.List[Member]:
-        """Those that said that they take messages at an address."""
+        """Returns the entries whose records name an address."""
         return [self._members_by_id[entry_id] for entry_id in self._ids_by_address.get(address, ())]
 
     def rank(self) -> int:
-        """This entry's place in the order in which entries read the store for all.
+        """Returns this entry's position in the order in which entries read the store for the fleet.
 
-        Those with wider links come first: what a choked one reads comes late to all.
+        Entries with wider links come first, since what is read over a congested link reaches the
+        others late.
         """
         return self._live_view().rank
 
     def is_responsible_for(self, name: str) -> bool:
-        """Whether this entry is the one of all that serve to do what one of them alone should do.
+        """Whether this entry is the serving entry that rendezvous hashing selects for a name.
 
-        Two may think so for as long as they disagree on who lives.
+        Two entries may both be selected for as long as they disagree on which entries are alive.
         """
         ids = [record.entry_id for record in self.serving_records()]
         return (
@@ -308,81 +339,81 @@
             == self.own_record.entry_id
         )
 
-    def _tell(self, own: "EntryRecord", beat: int, at_once: bool = False) -> None:
-        self.own_record = msgspec.structs.replace(own, beat=beat)
-        self._present = None
+    def _publish_own(self, own_record: "EntryRecord", beat: int, at_once: bool = False) -> None:
+        self.own_record = msgspec.structs.replace(own_record, beat=beat)
+        self._cached_view = None
         self.on_update(at_once)
 
-    def _refute(self, mark: RecordVersion) -> None:
-        own = self.own_record
-        if mark < (own.incarnation, own.beat):
+    def _refute(self, version: RecordVersion) -> None:
+        own_record = self.own_record
+        if version < (own_record.incarnation, own_record.beat):
             return
-        log.info("entry.suspected", beat=own.beat)
-        self._tell(own, max(own.beat, mark[1]) + 1)
+        log.info("entry.suspected", beat=own_record.beat)
+        self._publish_own(own_record, max(own_record.beat, version[1]) + 1)
 
-    def _suspect(self, known: Member, age_s: float, evidence: str) -> None:
+    def _suspect(self, member: Member, age_s: float, evidence: str) -> None:
         now = self._clock.monotonic()
-        known.suspected_at = now - age_s
-        self._present = None
-        record = known.record
+        member.suspected_at = now - age_s
+        self._cached_view = None
+        record = member.record
         log.info("peer.suspected", peer=record.entry_id, beat=record.beat, evidence=evidence)
-        self._note_all((known,), now)
+        self._log_transitions((member,), now)
 
-    def _outlive(self, record: "EntryRecord") -> None:
-        # An earlier lifetime of this entry, started by a clock that ran ahead.
+    def _outbid_incarnation(self, record: "EntryRecord") -> None:
+        # The record is of an earlier run of this entry, whose wall clock was ahead.
         if record.incarnation > self.own_record.incarnation:
             incarnation = Incarnation(record.incarnation + 1)
-            self._tell(
+            self._publish_own(
                 msgspec.structs.replace(self.own_record, incarnation=incarnation),
                 self.own_record.beat,
             )
 
-    def _is_alive(self, known: Member, now: float) -> bool:
-        since = known.suspected_at
-        return since is None or now - since < self._patience()
+    def _is_alive(self, member: Member, now: float) -> bool:
+        since = member.suspected_at
+        return since is None or now - since < self._suspicion_timeout_s()
 
-    def _patience(self) -> float:
-        """Seconds in which a refutation comes, if there is one; more in a larger fleet."""
+    def _suspicion_timeout_s(self) -> float:
+        """Returns the seconds that a suspect has to refute; longer in a larger fleet."""
         fourfolds = math.log(max(1.0, self.fleet_size() / defaults.SUSPECT_ENTRIES), 4)
         return defaults.ENTRY_SUSPECT_S * (1 + defaults.SUSPECT_GROWTH * fourfolds)
 
-    def _note_all(self, some: "t.Iterable[Member]", now: float) -> None:
-        """Log who came to life and who fell silent."""
-        risen: t.List[Member] = []
-        for known in some:
-            alive = known.suspected_at is None or self._is_alive(known, now)
-            if alive == known.alive:
+    def _log_transitions(self, members: "t.Iterable[Member]", now: float) -> None:
+        """Logs which of these entries became alive or dead since the last call."""
+        revived: t.List[Member] = []
+        for member in members:
+            is_alive = member.suspected_at is None or self._is_alive(member, now)
+            if is_alive == member.was_alive:
                 continue
-            known.alive = alive
-            if alive:
-                risen.append(known)
+            member.was_alive = is_alive
+            if is_alive:
+                revived.append(member)
             else:
-                _log_one("peer.silent", known, now)
-        if len(risen) > log.SINGLE_LINES:
-            log.many("peer.alive", "peers", [known.record.entry_id for known in risen])
+                _log_transition("peer.silent", member, now)
+        if len(revived) > log.SINGLE_LINES:
+            log.many("peer.alive", "peers", [member.record.entry_id for member in revived])
             return
-        for known in risen:
-            _log_one("peer.alive", known, now)
-
-    def _excuse(self, now: float, pause: float) -> None:
-        for known in self._members_by_id.values():
-            if known.suspected_at is not None and known.alive:
-                known.suspected_at = min(now, known.suspected_at + pause)
-                self._present = None
-
-    def _forget(self, now: float) -> None:
-        for entry_id, known in list(self._members_by_id.items()):
-            dead = not self._is_alive(known, now)
-            if dead and now - known.heard_at > defaults.ENTRY_FORGET_S:
+        for member in revived:
+            _log_transition("peer.alive", member, now)
+
+    def _extend_suspicions(self, now: float, pause_s: float) -> None:
+        for member in self._members_by_id.values():
+            if member.suspected_at is not None and member.was_alive:
+                member.suspected_at = min(now, member.suspected_at + pause_s)
+                self._cached_view = None
+
+    def _forget_dead(self, now: float) -> None:
+        for entry_id, member in list(self._members_by_id.items()):
+            dead = not self._is_alive(member, now)
+            if dead and now - member.last_heard_at > defaults.ENTRY_FORGET_S:
                 del self._members_by_id[entry_id]
-                self._unlist(known)
-                self._ids = self._present = None
+                self._remove_address(member)
+                self._cached_ids = self._cached_view = None
 
 
-def _log_one(event: str, known: Member, now: float) -> None:
+def _log_transition(event: str, member: Member, now: float) -> None:
     log.info(
         event,
-        peer=known.record.entry_id,
-        zone=known.record.zone,
-        age_s=round(now - known.heard_at, 2),
+        peer=member.record.entry_id,
+        zone=member.record.zone,
+        age_s=round(now - member.last_heard_at, 2),
     )
--- a/src/coralfall/traffic/messages.py
+++ b/src/coralfall/traffic/messages.py
@@ -15,92 +15,93 @@
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
-    """Somebody asked an entry, which last said this of itself, and got no answer."""
+    """An entry did not answer a probe; it is refuted by a newer version of the entry's record."""
 
     entry_id: EntryId
+    #: Version of the newest record that the suspecting entry knew.
     incarnation: Incarnation
     beat: int
-    #: Seconds since its sender began to suspect it.
+    #: Seconds since the sender began to suspect the entry.
     age_s: float
 
 
 class GossipMessage(Message, frozen=True, tag=32):
-    """What the sender knows: entries, and how new its rows are; asks for what is newer."""
+    """Updates that the sender knows, and the revisions of its rows; requests newer ones."""
 
-    #: The sender's own first, then those that are news, or all if the receiver asked for them.
+    #: The sender's own record first, then recently updated ones, or all if requested.
     records: t.Tuple[EntryRecord, ...]
     suspicions: t.Tuple[Suspicion, ...]
-    #: See :meth:`.members.Members.sum`.
+    #: See :meth:`.members.Members.checksum`.
     members_sum: int
-    #: Whether the sender wants to be told of all entries.
+    #: Whether the answer is to hold the records of all live entries.
     wants_all: bool
-    #: Whether the sender wants the rows that it lacks, and not only to know that there are some.
+    #: Whether the answer is to hold the rows that the sender lacks, and not their revisions alone.
     wants_rows: bool
     state_revision: Revision
     targets_revision: Revision
     #: Times of the store's clock at which these revisions were known to be the newest.
     state_read_s: float
     targets_read_s: float
-    #: What the store's clock may show at the most when this is sent, if the sender knows it.
+    #: Upper bound of the store's clock at the time of sending; ``None`` if the sender has none.
     store_s: t.Optional[float] = None
-    #: What the receiver does not know, if that is known.
+    #: Rows that the receiver lacks, as far as the sender knows its revisions.
     state: t.Optional[Delta] = None
     targets: t.Optional[Delta] = None
-    #: Suspected requests that are news, or all that matter if the receiver's sum is another one.
+    #: Recently suspected requests, or all that matter if the receiver's checksum differs.
     suspects: t.Tuple[Suspect, ...] = ()
     #: See :meth:`..placement.quarantine.Quarantine.sum`.
     suspects_sum: int = 0
-    #: Limits of targets that are news, or all if the receiver's sum is another one.
+    #: Recently changed limits of targets, or all of them if the receiver's checksum differs.
     limits: t.Tuple[NamedLimit, ...] = ()
     #: See :meth:`..placement.target_limits.TargetLimits.sum`.
     limits_sum: int = 0
-    #: Targets' lifetimes that leave, as far as they are news, or all if the receiver's sum is
-    #: another one.
+    #: Lifetimes of targets that began to leave recently, or of all leaving ones if the receiver's
+    #: checksum differs.
     departures: t.Tuple[Lifetime, ...] = ()
     #: See :meth:`..placement.departures.Departures.sum`.
     departures_sum: int = 0
 
 
 class Push(Message, frozen=True, tag=33):
-    """News that is not answered, to be handed on to the entries named."""
+    """A gossip message that is not answered, and that the receiver relays to other entries."""
 
     news: GossipMessage
     relay: t.Tuple[EntryId, ...] = ()
 
 
 class TokenRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens of one limit that the sender asks for, and some that it returns."""
+    """Requests tokens of one limit, and returns some that were not used."""
 
     key: LimitKey
     count: int
-    #: Tokens that were granted and whose requests were not sent.
+    #: Tokens that were granted but whose requests were not sent.
     unused: int
-    #: The limit as the sender knows it; the owner's own knowledge goes first.
+    #: The limit as the sender knows it; the owner's own value takes precedence.
     limit: Limit
-    #: Whether the reserved part of the bucket stays for others.
+    #: Whether the reserved part of the bucket is left for others.
     spare_only: bool = False
 
 
 class PermitRequest(Message, frozen=True, tag=34):
-    """Asks an owner of limits for tokens, and leases it shares."""
+    """Requests tokens from an owner of limits, and leases shares to it."""
 
     wants: t.Tuple[TokenRequest, ...]
-    #: Slots whose shares are leased, the share of each, and for how many seconds.
+    #: Slots whose shares are leased, the share of each, and the lease's length in seconds.
     slots: t.Tuple[SlotGroup, ...] = ()
     share: float = 0.0
     seconds: float = 0.0
-    #: What the owner's clock showed in the reply that the sender got last. Leases count from
-    #: then, so that a message that took long leases nothing that its sender uses itself by now.
+    #: Time of the owner's clock in the last reply received. Leases run from then, so that one in a
+    #: delayed message has expired by the time at which its sender uses the shares itself.
     answered_s: float = 0.0
-    #: Lifetime of the owner that sent that reply.
+    #: Incarnation of the owner that sent that reply.
     incarnation: t.Optional[Incarnation] = None
 
 
 class PermitReply(Message, frozen=True, tag=35):
-    """What the owner grants of each want, in their order."""
+    """Grants for each token request, in the order of the requests."""
 
     grants: t.Tuple[Grant, ...]
-    #: What the owner's clock shows.
+    #: Time of the owner's clock.
     now_s: float
-    #: Whether it grants nothing any more, and has ended all leases that it held.
+    #: Whether the owner has stopped granting and has ended all leases that it held.
     closed: bool = False
--- a/src/coralfall/traffic/registry.py
+++ b/src/coralfall/traffic/registry.py
@@ -1,9 +1,9 @@
-"""Registry: the entries' own rows in the platform's store, by which they first find each other.
+"""Registry: the entries' own rows in the platform's store, by which entries discover each other.
 
-An entry writes its row when it starts and removes it when it stops as planned. From time to time
-the first in rank compares the rows with the entries that it knows. Regions that lost each other for
-longer than entries remember each other meet again by that, and rows of machines that are lost for
-good go.
+An entry writes its row when it starts and deletes it when it stops as planned. Periodically the
+first entry in rank reconciles the rows with the entries that gossip knows. This reconnects regions
+that were partitioned for longer than entries remember each other, and deletes rows of machines that
+are lost for good.
 """
 
 import asyncio
@@ -22,21 +22,21 @@
     from .model import EntryRecord
     from .row_codec import RowCodec
 
-#: Pauses between tries to register, in seconds.
-_MIN_PAUSE_S = 0.1
-_MAX_PAUSE_S = 1.0
-#: Revision of a row that does not exist.
+#: Backoff between attempts to register, in seconds: first and longest pause.
+_MIN_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 1.0
+#: Revision that a write expects of a row that does not exist.
 _ABSENT = Revision(0)
 
 
 class Registry:
     """Reads and writes the entries' rows.
 
-    :param feed: the platform's store, to read.
-    :param table: the platform's store, to write.
-    :param translator: reads and writes the rows.
-    :param members: told of the entries.
-    :param rng: varies the pauses.
+    :param feed: reads the platform's store.
+    :param table: writes the platform's store.
+    :param row_codec: encodes and decodes rows.
+    :param members: receives the entries that rows name.
+    :param rng: jitter of the pauses.
     """
 
     def __init__(
@@ -52,35 +52,36 @@
         self._row_codec = row_codec
         self._members = members
         self._rng = rng
-        #: Rows of entries that were unknown the last time.
-        self._strange: t.Dict[str, Revision] = {}
+        #: Revisions of rows whose entries were unknown in the last reconciliation, by key.
+        self._unknown_rows: t.Dict[str, Revision] = {}
 
     async def register(self) -> None:
-        """Learn of the other entries, and let them learn of this one."""
-        pause = _MIN_PAUSE_S
+        """Writes this entry's row and reads those of the others; retries until that succeeds."""
+        backoff_s = _MIN_BACKOFF_S
         while True:
             try:
                 key, data = self._row_codec.encode_entry_row(self._members.own_record)
                 await self._table.transact([Write(key, data)])
-                # Of any two that start at the same moment, the one that wrote last finds the other;
-                # those that were here before are told of by the seeds, too.
-                log.info("entry.registered", entries=await self._meet() - 1)
+                # Reads after it has written: of two entries that start at the same moment, the one
+                # that wrote last finds the other. The seeds, too, tell of entries that were here
+                # before.
+                log.info("entry.registered", entries=await self._add_all() - 1)
                 return
             except PlatformError as error:
                 log.info("entry.not-registered", code=error.code, error=error.message)
-                await asyncio.sleep(pause * self._rng.uniform(0.8, 1.2))
-                pause = min(pause * 2, _MAX_PAUSE_S)
+                await asyncio.sleep(backoff_s * self._rng.uniform(0.8, 1.2))
+                backoff_s = min(backoff_s * 2, _MAX_BACKOFF_S)
 
-    async def _meet(self) -> int:
-        """Make all entries that have rows known; how many there are."""
+    async def _add_all(self) -> int:
+        """Adds all entries that have rows to the members; returns the number of rows."""
         rows = await self._read()
         for row in rows:
-            self._introduce(row)
+            self._add(row)
         self._members.has_discovered_peers = True
         return len(rows)
 
     async def unregister(self) -> None:
-        """Take this entry's row away."""
+        """Deletes this entry's row; a failure is logged and otherwise ignored."""
         key, _ = self._row_codec.encode_entry_row(self._members.own_record)
         try:
             await self._table.transact([Write(key, None)])
@@ -88,7 +89,7 @@
             log.info("entry.not-unregistered", code=error.code, error=error.message)
 
     async def run(self) -> None:
-        """Reconcile now and then, for ever."""
+        """Reconciles at intervals, until cancelled."""
         while True:
             await asyncio.sleep(defaults.RECONCILE_S * self._rng.uniform(0.8, 1.2))
             try:
@@ -97,38 +98,40 @@
                 log.info("entries.not-reconciled", code=error.code, error=error.message)
 
     async def reconcile(self) -> None:
-        """Compare the rows with the entries that are known, if this is the first in rank.
+        """Compares the rows with the known entries, if this entry is the first in rank.
 
-        An entry that nobody here has heard of is made known, so that it is asked for a while. Its
-        row goes if it is forgotten again by the next time, and has not been written anew. Rows of
-        living entries that are missing come back: others, who could not reach these, removed them.
+        An entry that is not known here is added to the members, so that it is probed for a while.
+        Its row is deleted if the entry has been forgotten again by the next reconciliation and the
+        row has not been written since. Missing rows of serving entries are written back: entries
+        that could not reach these have deleted them.
 
-        :raises PlatformError: if the store gave no answer.
+        :raises PlatformError: if the store did not answer.
         """
-        before = self._strange
-        self._strange = {}
+        unknown_before = self._unknown_rows
+        self._unknown_rows = {}
         if self._members.rank() != 0:
             return
         rows = await self._read()
         writes: t.List[Write] = []
         for row in rows:
-            record = self._record_of(row)
+            record = self._decode(row)
             if record is None or record.entry_id in self._members.known_ids():
                 continue
-            if before.get(row.key) == row.revision:
+            if unknown_before.get(row.key) == row.revision:
                 writes.append(Write(row.key, None, expected=row.revision))
                 continue
-            self._strange[row.key] = row.revision
+            self._unknown_rows[row.key] = row.revision
             self._members.add_registered(record)
-        if self._strange:
-            log.info("entries.met", keys=",".join(self._strange))
-        writes += self._missing({row.key for row in rows})
+        if self._unknown_rows:
+            log.info("entries.met", keys=",".join(self._unknown_rows))
+        writes += self._writes_of_missing({row.key for row in rows})
         await self._write(writes[: defaults.RECONCILE_ROWS])
 
     async def _write(self, writes: t.Sequence[Write]) -> None:
         if not writes:
             return
-        # All of it is refused if somebody else was faster; the next time tries again.
+        # If another entry wrote one of the rows meanwhile, the store rejects the whole transaction;
+        # the next reconciliation tries again.
         result = await self._table.transact(writes)
         log.info(
             "entries.reconciled",
@@ -137,7 +140,7 @@
             committed=result.committed,
         )
 
-    def _missing(self, keys: t.Set[str]) -> t.List[Write]:
+    def _writes_of_missing(self, keys: t.Set[str]) -> t.List[Write]:
         writes = []
         for record in self._members.serving_records():
             key, data = self._row_codec.encode_entry_row(record)
@@ -149,12 +152,12 @@
         changes = await self._feed.snapshot(self._row_codec.entry_prefix)
         return [row for row in changes.rows if row.value is not None]
 
-    def _introduce(self, row: "Row") -> None:
-        record = self._record_of(row)
+    def _add(self, row: "Row") -> None:
+        record = self._decode(row)
         if record is not None:
             self._members.add_registered(record)
 
-    def _record_of(self, row: "Row") -> "t.Optional[EntryRecord]":
+    def _decode(self, row: "Row") -> "t.Optional[EntryRecord]":
         try:
             return self._row_codec.decode_entry_row(row.key, row.value or b"")
         except DesiredStateError as error:
--- a/src/coralfall/traffic/replica.py
+++ b/src/coralfall/traffic/replica.py
@@ -1,8 +1,8 @@
-"""Replica: the rows below one prefix of the platform's store, as one entry knows them.
+"""Replica: this entry's copy of the rows below one prefix of the platform's store.
 
-It is fed by reads of the store and by deltas of other entries, in any order and more than once.
-A row never goes back to an older revision. Rows whose meaning did not change are passed over:
-targets write theirs every second or so, and only a few of these writes say something new.
+It applies reads of the store and deltas from other entries, in any order and more than once: a row
+is never replaced by an older revision. A write that does not change a row's decoded value is
+skipped. Targets write their rows every second or so, and few of these writes change anything.
 """
 
 import typing as t
@@ -17,11 +17,13 @@
 
 ValueT = t.TypeVar("ValueT")
 
-#: Deletions that are remembered, so that a delta can tell of them.
-_MAX_REMOVED = 2048
+#: Most tombstones that are kept, so that a delta can include deletions.
+_MAX_TOMBSTONES = 2048
 
 
 class _Held(t.Generic[ValueT]):
+    """A row that is held, encoded and decoded."""
+
     __slots__ = ("data", "revision", "value")
 
     def __init__(self, data: bytes, revision: Revision, value: ValueT) -> None:
@@ -31,12 +33,12 @@
 
 
 class Replica(t.Generic[ValueT]):
-    """Rows by key, decoded.
+    """Decoded rows by key.
 
-    :param name: what logs call it.
-    :param decode: makes a value of a row's key and bytes; raises ``DesiredStateError``.
-    :param drops_unreadable: whether a row that can't be read ends the good one before it, and does
-        not leave it in force.
+    :param name: name of the rows in logs.
+    :param decode: decodes a row from its key and bytes; raises ``DesiredStateError``.
+    :param drops_unreadable: whether a row that can't be decoded deletes the last valid one instead
+        of leaving it in force.
     """
 
     def __init__(
@@ -45,34 +47,38 @@
         self.name = name
         self._decode = decode
         self._drops_unreadable = drops_unreadable
-        #: Keys whose newest row could not be read.
+        #: Keys of deleted rows whose newest revision can't be decoded.
         self.unreadable_keys: t.Set[str] = set()
-        self._held: t.Dict[str, _Held[ValueT]] = {}
-        self._removed: t.Dict[str, Revision] = {}
-        #: Deltas since older revisions than this can't be made.
-        self._horizon = Revision(0)
+        self._held_by_key: t.Dict[str, _Held[ValueT]] = {}
+        #: Revisions at which rows were deleted, by key.
+        self._tombstones: t.Dict[str, Revision] = {}
+        #: Oldest revision since which a delta can be made.
+        self._oldest_since = Revision(0)
         self.revision = Revision(0)
-        #: Time of the store's clock at which the rows were so.
+        #: Time of the store's clock at which the rows were known to be the newest.
         self.read_s = -float("inf")
 
     @property
     def is_loaded(self) -> bool:
-        """Whether anything was ever learnt."""
+        """Whether any rows or deltas have been applied."""
         return self.revision > 0
 
     def values(self) -> t.Dict[str, ValueT]:
-        """Decoded rows by key."""
-        return {key: held.value for key, held in self._held.items()}
+        """Returns the decoded rows by key."""
+        return {key: held.value for key, held in self._held_by_key.items()}
 
     def get(self, key: str) -> t.Optional[ValueT]:
-        """One decoded row."""
-        held = self._held.get(key)
+        """Returns one decoded row, or ``None`` if there is none."""
+        held = self._held_by_key.get(key)
         return held.value if held is not None else None
 
     def apply_snapshot(
         self, rows: "t.Iterable[Row]", revision: Revision, read_s: float
     ) -> t.Set[str]:
-        """Take in all rows as of a revision; the keys whose meaning changed."""
+        """Applies all rows as of a revision; returns the keys whose values changed.
+
+        :param read_s: time of the store's clock at which the revision was the newest.
+        """
         if revision < self.revision:
             return set()
         changed: t.Set[str] = set()
@@ -80,8 +86,8 @@
         for row in rows:
             seen.add(row.key)
             self._put(row.key, row.revision, row.value, changed)
-        for key in list(self._held):
-            if key not in seen and self._held[key].revision <= revision:
+        for key in list(self._held_by_key):
+            if key not in seen and self._held_by_key[key].revision <= revision:
                 self._remove(key, revision, changed)
         self._advance(revision, read_s)
         return changed
@@ -89,7 +95,10 @@
     def apply_changes(
         self, rows: "t.Iterable[Row]", revision: Revision, read_s: float
     ) -> t.Set[str]:
-        """Take in rows that were written up to a revision; the keys whose meaning changed."""
+        """Applies rows that were written up to a revision; returns the keys whose values changed.
+
+        :param read_s: time of the store's clock at which the revision was the newest.
+        """
         changed: t.Set[str] = set()
         for row in rows:
             self._put(row.key, row.revision, row.value, changed)
@@ -97,28 +106,31 @@
         return changed
 
     def delta(self, since: Revision) -> Delta:
-        """What one who knows ``since`` does not know."""
-        if since < self._horizon or since == 0:
-            rows = [DeltaRow(key, held.revision, held.data) for key, held in self._held.items()]
+        """Returns what changed after a revision; all rows if that is 0 or too old."""
+        if since < self._oldest_since or since == 0:
+            rows = [
+                DeltaRow(key, held.revision, held.data) for key, held in self._held_by_key.items()
+            ]
             return pack(Revision(0), self.revision, rows)
         rows = [
             DeltaRow(key, held.revision, held.data)
-            for key, held in self._held.items()
+            for key, held in self._held_by_key.items()
             if held.revision > since
         ]
-        for key, revision in self._removed.items():
+        for key, revision in self._tombstones.items():
             if revision > since:
                 rows.append(DeltaRow(key, revision, None))
         return pack(since, self.revision, rows)
 
     def can_apply(self, delta: Delta) -> bool:
-        """Whether nothing is missing between what is known and the delta."""
+        """Whether there is no gap between the rows held and the delta."""
         return delta.since == 0 or delta.since <= self.revision
 
     def apply_delta(self, delta: Delta, read_s: float) -> t.Set[str]:
-        """Take in another entry's delta; the keys whose meaning changed.
+        """Applies another entry's delta; returns the keys whose values changed.
 
-        :raises PeerFrameError: if its rows can't be read.
+        :param read_s: time of the store's clock at which the delta's revision was the newest.
+        :raises PeerFrameError: if the delta's rows can't be decoded.
         """
         rows = t.cast("t.Iterable[Row]", delta.unpack())
         if delta.since == 0:
@@ -127,13 +139,13 @@
 
     def _advance(self, revision: Revision, read_s: float) -> None:
         if self.revision == 0:
-            self._horizon = revision
+            self._oldest_since = revision
         if revision >= self.revision:
             self.revision = revision
             self.read_s = max(self.read_s, read_s)
 
     def confirm(self, revision: Revision, read_s: float) -> None:
-        """Note that rows of a revision were still all there was at a later time."""
+        """Records that a revision was still the newest at a time of the store's clock."""
         if revision == self.revision:
             self.read_s = max(self.read_s, read_s)
 
@@ -143,10 +155,10 @@
         if data is None:
             self._remove(key, revision, changed)
             return
-        held = self._held.get(key)
+        held = self._held_by_key.get(key)
         if held is not None and held.revision >= revision:
             return
-        if self._removed.get(key, 0) >= revision:
+        if self._tombstones.get(key, 0) >= revision:
             return
         try:
             value = self._decode(key, data)
@@ -157,8 +169,8 @@
         self.unreadable_keys.discard(key)
         if held is not None and held.value == value:
             return
-        self._held[key] = _Held(data, revision, value)
-        self._removed.pop(key, None)
+        self._held_by_key[key] = _Held(data, revision, value)
+        self._tombstones.pop(key, None)
         changed.add(key)
 
     def _note_unreadable(self, key: str, revision: Revision, changed: t.Set[str]) -> None:
@@ -170,15 +182,15 @@
 
     def _remove(self, key: str, revision: Revision, changed: t.Set[str]) -> None:
         self.unreadable_keys.discard(key)
-        held = self._held.get(key)
+        held = self._held_by_key.get(key)
         if held is not None:
             if held.revision > revision:
                 return
-            del self._held[key]
+            del self._held_by_key[key]
             changed.add(key)
-        if revision <= self._removed.get(key, 0):
+        if revision <= self._tombstones.get(key, 0):
             return
-        self._removed[key] = revision
-        while len(self._removed) > _MAX_REMOVED:
-            oldest = min(self._removed, key=self._removed.__getitem__)
-            self._horizon = max(self._horizon, self._removed.pop(oldest))
+        self._tombstones[key] = revision
+        while len(self._tombstones) > _MAX_TOMBSTONES:
+            oldest = min(self._tombstones, key=self._tombstones.__getitem__)
+            self._oldest_since = max(self._oldest_since, self._tombstones.pop(oldest))
--- a/tests/traffic/test_gossip.py
+++ b/tests/traffic/test_gossip.py
@@ -16,7 +16,7 @@
 from coralfall.process.clock import Clock, ManualClock
 from coralfall.traffic.delta import Delta, DeltaRow, pack
 from coralfall.traffic.follower import Follower
-from coralfall.traffic.gossip import Gossip, in_relay_order
+from coralfall.traffic.gossip import Gossip, relay_order
 from coralfall.traffic.members import Members
 from coralfall.traffic.messages import GossipMessage
 from coralfall.traffic.pace import pace_of
@@ -139,11 +139,13 @@
             state_view.store_clock,
             seeded_rng(),
             pace=pace_of(2.0),
-            held=of_state,
-            before=lambda age: None,
-            changed=state_view.apply_state_changes if of_state else state_view.apply_target_changes,
-            hand_on=lambda since: None,
-            patience_s=self._settings.first_start_wait_s(),
+            long_poll=of_state,
+            before_apply=lambda age: None,
+            on_changed=(
+                state_view.apply_state_changes if of_state else state_view.apply_target_changes
+            ),
+            push_since=lambda since: None,
+            initial_wait_s=self._settings.first_start_wait_s(),
         )
 
     async def run(self) -> None:
@@ -316,7 +318,7 @@
     records = [make_record(f"e{number}", link_mbps=10.0) for number in range(40)]
 
     def order(self, root: str, turn: int) -> t.List[str]:
-        return [record.entry_id for record in in_relay_order(self.records, EntryId(root), turn)]
+        return [record.entry_id for record in relay_order(self.records, EntryId(root), turn)]
 
     def test_the_order_stays_for_a_turn(self) -> None:
         self.assertEqual(self.order("e1", 7), self.order("e1", 7))
@@ -333,14 +335,14 @@
         before = self.order("e1", 7)
         gone = before[3]
         records = [record for record in self.records if record.entry_id != gone]
-        after = [record.entry_id for record in in_relay_order(records, EntryId("e1"), 7)]
+        after = [record.entry_id for record in relay_order(records, EntryId("e1"), 7)]
         self.assertEqual([name for name in before if name != gone], after)
 
     def test_wider_links_come_first(self) -> None:
         records = [
             make_record(f"e{n}", link_mbps=link) for n, link in enumerate((10.0, 0.0, 200.0))
         ]
-        relays = [record.link_mbps for record in in_relay_order(records, EntryId("e1"), 7)]
+        relays = [record.link_mbps for record in relay_order(records, EntryId("e1"), 7)]
         self.assertEqual([200.0, 10.0, 0.0], relays)
 
 
--- a/tests/traffic/test_knowledge.py
+++ b/tests/traffic/test_knowledge.py
@@ -357,10 +357,10 @@
                 known.state_view.store_clock,
                 seeded_rng(),
                 pace=pace_of(bound_s),
-                held=True,
-                before=lambda age: None,
-                changed=known.state_view.apply_state_changes,
-                hand_on=functools.partial(self._hand_on, number),
+                long_poll=True,
+                before_apply=lambda age: None,
+                on_changed=known.state_view.apply_state_changes,
+                push_since=functools.partial(self._hand_on, number),
             )
             for number, known in enumerate(self.known)
         ]
--- a/tests/traffic/test_members.py
+++ b/tests/traffic/test_members.py
@@ -11,7 +11,7 @@
 from coralfall import defaults
 from coralfall.ids import EntryId, EntryState, Incarnation, RegionId, ZoneId
 from coralfall.process.clock import ManualClock
-from coralfall.traffic.gossip import in_relay_order
+from coralfall.traffic.gossip import relay_order
 from coralfall.traffic.lookup import Lookup
 from coralfall.traffic.members import Members
 from coralfall.traffic.messages import GossipMessage, Suspicion
@@ -178,7 +178,7 @@
             rank_by_name[record.entry_id] = members.rank()
         self.assertEqual({0, 1}, {rank_by_name["e2"], rank_by_name["e5"]})
         self.assertEqual({2, 3}, {rank_by_name["e1"], rank_by_name["e3"]})
-        relays = [record.link_mbps for record in in_relay_order(records, EntryId("e1"), 7)]
+        relays = [record.link_mbps for record in relay_order(records, EntryId("e1"), 7)]
         self.assertEqual([200.0, 200.0, 10.0, 10.0, 0.0], relays)
 
     def test_entries_of_the_store_are_not_alive_until_heard(self) -> None:
@@ -212,8 +212,8 @@
             kept = members._live_view()
             fresh = members._compute_live_view(clock.monotonic())
             self.assertEqual(
-                (fresh.records, fresh.serving, fresh.sum, fresh.rank),
-                (kept.records, kept.serving, kept.sum, kept.rank),
+                (fresh.records, fresh.serving_records, fresh.checksum, fresh.rank),
+                (kept.records, kept.serving_records, kept.checksum, kept.rank),
             )
             known = {*members._members_by_id}
             self.assertEqual({EntryId("e1"), *known}, members.known_ids())
