--- a/tests/traffic/test_members.py
+++ b/tests/traffic/test_members.py
@@ -1,4 +1,4 @@
-"""Tests of who is alive: suspicions, their refutation, what it costs, and look-ups."""
+"""Tests of membership: suspicions, refutations, dissemination and its cost; and of look-ups."""
 
 import typing as t
 import unittest
@@ -31,8 +31,8 @@
 )
 
 
-def miss(members: Members, name: str = "e2", times: int = defaults.SUSPECT_MISSES) -> None:
-    """Ask an entry in vain, as often as it takes to suspect it."""
+def fail_probes(members: Members, name: str = "e2", times: int = defaults.SUSPECT_MISSES) -> None:
+    """Records as many failed probes of an entry as it takes to suspect it."""
     for _ in range(times):
         members.record_probe_failure(make_record(name).peer_address)
 
@@ -51,11 +51,11 @@
 
     @parameterized.expand(
         [
-            ("no answer", lambda members: miss(members)),
+            ("no answer", lambda members: fail_probes(members)),
             ("told by another", lambda members: members.merge_suspicions([suspicion("e2", 1)])),
         ]
     )
-    def test_a_suspicion_is_death_in_time_and_a_new_beat_is_life(
+    def test_an_unrefuted_suspicion_times_out_and_a_new_beat_revives(
         self, _name: str, suspect: t.Callable[[Members], None]
     ) -> None:
         self.members.merge_records([make_record("e2")])
@@ -66,7 +66,7 @@
         self.assertEqual(["e2"], self.alive())
         suspect(self.members)
         self.clock.advance(defaults.ENTRY_SUSPECT_S - 0.1)
-        # What others said before they knew is no refutation, and no new suspicion either.
+        # A record of the same version is no refutation, and a repeated suspicion extends nothing.
         self.members.merge_records([make_record("e2")])
         suspect(self.members)
         self.assertEqual(["e2"], self.alive())
@@ -75,29 +75,31 @@
         self.members.merge_records([make_record("e2", beat=2)])
         self.assertEqual(["e2"], self.alive())
 
-    def test_one_question_without_an_answer_is_asked_again(self) -> None:
+    def test_one_failed_probe_is_repeated_before_a_suspicion(self) -> None:
         self.members.merge_records([make_record(f"e{number}") for number in range(2, 30)])
-        miss(self.members, times=1)
+        fail_probes(self.members, times=1)
         self.assertIn("e2", [record.entry_id for record in self.members.choose_peers(0)])
         self.members.record_probe_success(make_record("e2").peer_address)
-        miss(self.members, times=1)
+        fail_probes(self.members, times=1)
         self.assertEqual((), self.members.recent_suspicions())
-        miss(self.members, times=1)
+        fail_probes(self.members, times=1)
         self.assertEqual(1, len(self.members.recent_suspicions()))
 
-    def test_an_entry_that_is_late_itself_blames_nobody(self) -> None:
+    def test_an_overloaded_entry_suspects_nobody(self) -> None:
         self.members.merge_records([make_record("e2")])
         self.clock.advance(defaults.GOSSIP_S * defaults.BUSY_ROUNDS + 0.1)
-        miss(self.members)
+        fail_probes(self.members)
         self.assertEqual((), self.members.recent_suspicions())
 
-    def test_a_suspicion_of_what_an_entry_said_before_is_passed_over(self) -> None:
+    def test_a_suspicion_of_an_older_version_is_ignored(self) -> None:
         self.members.merge_records([make_record("e2", beat=5)])
         self.members.merge_suspicions([suspicion("e2", 4)])
         self.clock.advance(defaults.ENTRY_SUSPECT_S)
         self.assertEqual(["e2"], self.alive())
 
-    @parameterized.expand([("of this beat", 1, 2), ("of one to come", 7, 8), ("of the past", 0, 1)])
+    @parameterized.expand(
+        [("of the current beat", 1, 2), ("of a later beat", 7, 8), ("of an older beat", 0, 1)]
+    )
     def test_a_suspect_refutes(self, _name: str, suspected: int, beat: int) -> None:
         told = []
         self.members.on_update = lambda at_once: told.append(self.members.own_record)
@@ -105,9 +107,9 @@
         self.assertEqual(beat, self.members.own_record.beat)
         self.assertEqual(beat > 1, bool(told))
 
-    def test_news_are_told_for_a_while_and_all_on_demand(self) -> None:
+    def test_updates_are_recent_for_a_while_and_all_are_available(self) -> None:
         self.members.merge_records([make_record("e2"), make_record("e3")])
-        miss(self.members, "e3")
+        fail_probes(self.members, "e3")
         self.assertEqual(3, len(self.members.recent_records()))
         self.assertEqual((suspicion("e3", 1),), self.members.recent_suspicions())
         self.assertEqual(1, self.members.suspected_count())
@@ -120,7 +122,7 @@
         (told_of,) = self.members.all_suspicions()
         self.assertEqual(("e3", defaults.GOSSIP_NEWS_S), (told_of.entry_id, told_of.age_s))
 
-    def test_the_sum_tells_whether_two_know_the_same(self) -> None:
+    def test_the_checksum_shows_whether_two_entries_agree(self) -> None:
         other = Members(make_record("e2"), self.clock, seeded_rng())
         other.merge_records([make_record("e3"), make_record("e1")])
         self.members.merge_records([make_record("e2")])
@@ -145,14 +147,14 @@
         self.members.merge_records([make_record("e2", beat=4)])
         self.assertEqual(["e1"], [record.entry_id for record in self.members.serving_records()])
 
-    def test_a_restarted_entry_whose_clock_fell_back_outlives_its_past(self) -> None:
+    def test_an_entry_restarted_with_an_earlier_clock_outbids_its_old_incarnation(self) -> None:
         self.members.merge_records([make_record("e1", incarnation=Incarnation(9), beat=70)])
         self.assertEqual(10, self.members.own_record.incarnation)
 
-    def test_a_pause_of_this_process_is_nobody_s_death(self) -> None:
+    def test_a_pause_of_this_process_declares_nobody_dead(self) -> None:
         self.members.start_round()
         self.members.merge_records([make_record("e2")])
-        miss(self.members)
+        fail_probes(self.members)
         self.clock.advance(20.0)
         self.members.start_round()
         self.assertEqual(["e2"], self.alive())
@@ -181,7 +183,7 @@
         relays = [record.link_mbps for record in relay_order(records, EntryId("e1"), 7)]
         self.assertEqual([200.0, 200.0, 10.0, 10.0, 0.0], relays)
 
-    def test_entries_of_the_store_are_not_alive_until_heard(self) -> None:
+    def test_registered_entries_are_not_alive_until_gossip_tells_of_them(self) -> None:
         self.members.add_registered(make_record("e2"))
         self.assertEqual([], self.members.alive_records())
         self.assertEqual({"e1", "e2"}, self.members.known_ids())
@@ -199,16 +201,16 @@
 )
 
 
-class PresentTest(unittest.TestCase):
-    """What is kept of who is alive is what a look at all of them would find."""
+class LiveViewTest(unittest.TestCase):
+    """The cached live view equals one that is computed anew, after any sequence of calls."""
 
     @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
     @hypothesis.given(steps=_steps)
-    def test_it_is_always_up_to_date(self, steps: t.List[t.Tuple[str, str, int]]) -> None:
+    def test_the_cache_is_always_up_to_date(self, steps: t.List[t.Tuple[str, str, int]]) -> None:
         clock = ManualClock(100.0)
         members = Members(make_record("e1"), clock, seeded_rng())
         for step, name, number in steps:
-            self.take(members, clock, step, name, number)
+            self.apply_step(members, clock, step, name, number)
             kept = members._live_view()
             fresh = members._compute_live_view(clock.monotonic())
             self.assertEqual(
@@ -227,7 +229,9 @@
             }
             self.assertEqual(places, listed)
 
-    def take(self, members: Members, clock: ManualClock, step: str, name: str, number: int) -> None:
+    def apply_step(
+        self, members: Members, clock: ManualClock, step: str, name: str, number: int
+    ) -> None:
         record = make_record(name, beat=number, peer_address=f"10.0.0.{number}:1", ready=number > 1)
         if step == "hear":
             members.merge_records([record])
@@ -249,14 +253,14 @@
             clock.advance((0.1, 1.6, 3.0, 150.0)[number])
 
 
-class RowsOnlyTest(unittest.TestCase):
-    """Entries that only the store's rows tell of: nobody is told that they are suspected."""
+class RegisteredOnlyTest(unittest.TestCase):
+    """Entries that are known only from their rows: no suspicion of them is gossiped."""
 
     def setUp(self) -> None:
         self.members = Members(make_record("e1"), ManualClock(100.0), seeded_rng())
         self.members.add_registered(make_record("e2", beat=0))
 
-    def told(self) -> t.Set[str]:
+    def gossiped_suspects(self) -> t.Set[str]:
         address = make_record("e2").peer_address
         suspicions = (
             *self.members.all_suspicions(),
@@ -265,20 +269,20 @@
         )
         return {suspicion.entry_id for suspicion in suspicions}
 
-    def test_they_are_not_told_as_suspected(self) -> None:
-        self.assertEqual(([], set()), (self.members.alive_records(), self.told()))
+    def test_they_are_not_gossiped_as_suspected(self) -> None:
+        self.assertEqual(([], set()), (self.members.alive_records(), self.gossiped_suspects()))
 
-    def test_they_are_not_told_as_living(self) -> None:
-        """A row outlives its machine; two that read it would make it live for each other."""
+    def test_they_are_not_gossiped_as_alive(self) -> None:
+        """A row outlives its machine; two entries that read it would keep it alive for each other."""
         told = [record.entry_id for record in self.members.recent_records()]
         self.assertEqual(["e1"], told)
 
-    @parameterized.expand([("the same word", 0), ("a newer one", 1)])
-    def test_they_live_once_anybody_tells_of_them(self, _name: str, beat: int) -> None:
+    @parameterized.expand([("the same version", 0), ("a newer one", 1)])
+    def test_they_are_alive_once_gossip_tells_of_them(self, _name: str, beat: int) -> None:
         self.members.merge_records([make_record("e2", beat=beat)])
         self.assertEqual(["e2"], [record.entry_id for record in self.members.alive_records()])
-        miss(self.members)
-        self.assertEqual({"e2"}, self.told())
+        fail_probes(self.members)
+        self.assertEqual({"e2"}, self.gossiped_suspects())
 
 
 class LookupTest(unittest.TestCase):
@@ -294,7 +298,7 @@
         [
             ("zone and as many outside", [NORTE] * 2 + [ZoneId("valle")] * 2, [0, 1, 2, 3]),
             ("region if the zone has few", [NORTE, ZoneId("valle"), PUERTO], [0, 1]),
-            ("a zone that is lost", [ZoneId("valle"), ZoneId("valle"), PUERTO], [0, 1]),
+            ("zone without entries", [ZoneId("valle"), ZoneId("valle"), PUERTO], [0, 1]),
             ("any if the region has none", [PUERTO, PUERTO], [0, 1]),
             ("nobody", [], []),
         ]
@@ -309,12 +313,12 @@
 
     @parameterized.expand(
         [
-            ("one comes", {"e2": {}}, 2),
+            ("one joins", {"e2": {}}, 2),
             ("one leaves", {"e1x": {"state": EntryState.LEAVING, "beat": 9}}, 0),
             ("one is not ready any more", {"e1x": {"ready": False, "beat": 9}}, 0),
         ]
     )
-    def test_an_answer_follows_who_serves(
+    def test_an_answer_follows_the_serving_entries(
         self, _name: str, heard: t.Dict[str, t.Dict[str, t.Any]], count: int
     ) -> None:
         known = EntryFixture()
@@ -328,19 +332,19 @@
         )
         self.assertEqual(count, len(lookup.addresses(question)))
 
-    def test_the_dead_are_named_no_more_once_time_has_passed(self) -> None:
-        """Nobody says a word when a suspect becomes one that is held dead."""
+    def test_an_entry_is_left_out_once_its_suspicion_times_out(self) -> None:
+        """No message arrives at that time, so only the clock can end the cached answer."""
         known = EntryFixture()
         known.members.update_own(ready=False)
         known.members.merge_records([make_record("e2")])
         lookup = Lookup(make_settings(), known.members, known.state_view)
         question = LookupQuery("a.example", SIERRA, NORTE)
-        miss(known.members)
+        fail_probes(known.members)
         self.assertEqual(1, len(lookup.addresses(question)))
         t.cast(ManualClock, known.clock).advance(defaults.ENTRY_SUSPECT_S + 0.1)
         self.assertEqual(0, len(lookup.addresses(question)))
 
-    def test_a_zone_s_callers_are_told_of_few_others_and_not_all_of_the_same(self) -> None:
+    def test_callers_get_few_entries_outside_their_zone_which_differ_by_zone(self) -> None:
         zones = [ZoneId(f"z{number}") for number in range(6)]
         records = [make_record(f"e{z}{n}", zone=z) for z in zones for n in range(3)]
         lookup = self.lookup(*records)
@@ -354,19 +358,19 @@
 
     @parameterized.expand(
         [
-            # entries of the zone, others in all, those of the others that are named
+            # entries in the zone, entries outside it, how many of the latter are named
             ("today's", 2, 2, 2),
-            ("one alone", 1, 5, 2),
+            ("one entry in the zone", 1, 5, 2),
             ("grown", 9, 18, 7),
-            ("grown more", 15, 15, 2),
-            ("the letter's", 38, 80, 2),
-            ("beyond what callers take", 70, 0, -6),
+            ("many in the zone", 15, 15, 2),
+            ("the largest installation", 38, 80, 2),
+            ("more than an answer may name", 70, 0, -6),
         ]
     )
     def test_no_entry_of_a_zone_is_left_out(
         self, _name: str, inside: int, others: int, outside: int
     ) -> None:
-        """Or else those that are named carry the load of those that are not."""
+        """Otherwise the entries that are named would carry the load of the others."""
         records = [make_record(f"e{n}in", zone=NORTE) for n in range(inside)]
         records += [make_record(f"e{n}out", zone=ZoneId("valle")) for n in range(others)]
         found = self.lookup(*records).addresses(LookupQuery("a.example", SIERRA, NORTE))
@@ -375,7 +379,7 @@
             named = {record.caller_address for record in records[:inside]}
             self.assertEqual(set(), named - set(found))
 
-    def test_a_region_without_entries_is_told_of_as_many_as_callers_take(self) -> None:
+    def test_callers_of_a_region_without_entries_get_the_most_addresses(self) -> None:
         records = [make_record(f"e{n}x", zone=PUERTO, region=COSTA) for n in range(80)]
         lookup = self.lookup(*records)
         zones = [ZoneId(f"z{number}") for number in range(20)]
@@ -392,179 +396,181 @@
         self.assertEqual([home.caller_address], found)
 
 
-class MemberFleet:
-    """Entries that ask each other in rounds, a few of which can be reached by nobody.
+class SimulatedFleet:
+    """A fleet that gossips in rounds, in which entries and links can fail.
 
-    News are carried by hand, so that a few hundred entries can be played.
+    Messages are delivered by direct calls, which is fast enough for a few hundred entries.
     """
 
     def __init__(self, count: int) -> None:
         self.clock = ManualClock(100.0)
-        self.known = {f"e{n}": EntryFixture(f"e{n}", self.clock, seed=n) for n in range(count)}
-        self.gone: t.Set[str] = set()
-        self.cuts: t.Set[t.FrozenSet[str]] = set()
-        self.sent: t.List[int] = []
-        self.may_push_at: t.Dict[str, float] = {}
-        #: Share of questions and pushes that are lost.
-        self.lost = 0.0
+        self.entries = {f"e{n}": EntryFixture(f"e{n}", self.clock, seed=n) for n in range(count)}
+        self.failed: t.Set[str] = set()
+        self.cut_links: t.Set[t.FrozenSet[str]] = set()
+        self.sent_bytes: t.List[int] = []
+        self.next_push_at: t.Dict[str, float] = {}
+        #: Share of probes and pushes that are lost.
+        self.loss = 0.0
         self._rng = seeded_rng()
-        for known in self.known.values():
-            known.members.merge_records([make_record(name) for name in self.known if name != "e0"])
-            known.members.on_update = self._pusher(known)
-        #: One that nobody but its neighbour has heard of.
-        self.known["e1"].members.merge_records([make_record("e0")])
+        for entry in self.entries.values():
+            entry.members.merge_records(
+                [make_record(name) for name in self.entries if name != "e0"]
+            )
+            entry.members.on_update = self._pusher(entry)
+        # Only one entry has heard of e0.
+        self.entries["e1"].members.merge_records([make_record("e0")])
 
-    def _pusher(self, known: EntryFixture) -> t.Callable[[], None]:
+    def _pusher(self, entry: EntryFixture) -> t.Callable[[], None]:
         def push(at_once: bool) -> None:
             now = self.clock.monotonic()
-            if at_once or now >= self.may_push_at.get(known.members.own_record.entry_id, 0.0):
-                self.pushes.append(known)
-                pause = (len(known.members.alive_records()) + 1) / defaults.MEMBER_PUSHES_PER_S
-                self.may_push_at[known.members.own_record.entry_id] = now + pause
+            if at_once or now >= self.next_push_at.get(entry.members.own_record.entry_id, 0.0):
+                self.pushes.append(entry)
+                pause = (len(entry.members.alive_records()) + 1) / defaults.MEMBER_PUSHES_PER_S
+                self.next_push_at[entry.members.own_record.entry_id] = now + pause
 
         return push
 
     pushes: t.List[EntryFixture] = []
 
-    def can_reach(self, one: str, other: str) -> bool:
-        if other in self.gone or frozenset((one, other)) in self.cuts:
+    def is_reachable(self, one: str, other: str) -> bool:
+        if other in self.failed or frozenset((one, other)) in self.cut_links:
             return False
-        return self._rng.random() >= self.lost
+        return self._rng.random() >= self.loss
 
-    def round(self) -> None:
+    def run_round(self) -> None:
         self.clock.advance(defaults.GOSSIP_S)
-        for name, known in self.known.items():
-            if name in self.gone:
+        for name, entry in self.entries.items():
+            if name in self.failed:
                 continue
-            known.members.start_round()
-            for record in known.members.choose_peers(defaults.GOSSIP_FANOUT):
-                self._ask(known, record)
+            entry.members.start_round()
+            for record in entry.members.choose_peers(defaults.GOSSIP_FANOUT):
+                self._probe(entry, record)
         while self.pushes:
-            known = self.pushes.pop()
-            others = [record.entry_id for record in known.members.alive_records()]
-            self._relay(known.members.own_record.entry_id, known.exchange.news(), others)
+            entry = self.pushes.pop()
+            others = [record.entry_id for record in entry.members.alive_records()]
+            self._relay(entry.members.own_record.entry_id, entry.exchange.news(), others)
 
     def _relay(self, sender: str, news: GossipMessage, names: t.Sequence[str]) -> None:
         parts = min(defaults.RELAY_FANOUT, len(names))
         for number in range(parts):
             part = names[number::parts]
-            while part and not self.can_reach(sender, part[0]):
+            while part and not self.is_reachable(sender, part[0]):
                 part = part[1:]
             if part:
-                self._tell(self.known[part[0]], news)
+                self._deliver(self.entries[part[0]], news)
                 self._relay(part[0], news, part[1:])
 
-    def _ask(self, known: EntryFixture, record: EntryRecord) -> None:
-        if not self.can_reach(known.members.own_record.entry_id, record.entry_id):
-            known.members.record_probe_failure(record.peer_address)
+    def _probe(self, entry: EntryFixture, record: EntryRecord) -> None:
+        if not self.is_reachable(entry.members.own_record.entry_id, record.entry_id):
+            entry.members.record_probe_failure(record.peer_address)
             return
-        other = self.known[record.entry_id]
-        known.members.record_probe_success(record.peer_address)
-        news = known.exchange.news(address=record.peer_address)
-        self._tell(other, news)
-        self._tell(known, other.exchange.answer(news))
-
-    def _tell(self, known: EntryFixture, news: GossipMessage) -> None:
-        self.sent.append(len(msgspec.msgpack.encode(news)))
-        known.exchange.take(news)
-
-    def believed_alive(self) -> t.Set[t.FrozenSet[str]]:
-        """What those that run hold alive, themselves included; one set if they agree."""
+        other = self.entries[record.entry_id]
+        entry.members.record_probe_success(record.peer_address)
+        news = entry.exchange.news(address=record.peer_address)
+        self._deliver(other, news)
+        self._deliver(entry, other.exchange.answer(news))
+
+    def _deliver(self, entry: EntryFixture, news: GossipMessage) -> None:
+        self.sent_bytes.append(len(msgspec.msgpack.encode(news)))
+        entry.exchange.take(news)
+
+    def views_of_alive(self) -> t.Set[t.FrozenSet[str]]:
+        """Returns the sets of entries that running ones hold alive; a single set if all agree."""
         return {
             frozenset(
-                {known.members.own_record.entry_id}
-                | {r.entry_id for r in known.members.alive_records()}
+                {entry.members.own_record.entry_id}
+                | {r.entry_id for r in entry.members.alive_records()}
             )
-            for name, known in self.known.items()
-            if name not in self.gone
+            for name, entry in self.entries.items()
+            if name not in self.failed
         }
 
 
-class MemberFleetTest(unittest.TestCase):
+class FleetTest(unittest.TestCase):
     def setUp(self) -> None:
-        MemberFleet.pushes = []
+        SimulatedFleet.pushes = []
 
     @parameterized.expand(
         [
-            ("today", 12, 1, 3.5),
-            ("grown", 89, 15, 5.0),
-            ("nearly all", 12, 10, 4.5),
+            ("small, one fails", 12, 1, 3.5),
+            ("medium, a sixth", 89, 15, 5.0),
+            ("small, nearly all", 12, 10, 4.5),
             ("large, a sixth", 195, 32, 6.0),
             ("large, a region", 195, 65, 6.0),
             ("large, more than half", 195, 107, 6.0),
         ]
     )
-    def test_all_agree_on_who_lives(
+    def test_all_agree_on_which_entries_are_alive(
         self, _name: str, count: int, gone: int, bound_s: float
     ) -> None:
-        """The bounds are within the users' of 6 and 7 s; patience grows with the fleet."""
-        fleet = MemberFleet(count)
+        """The users allow 6 and 7 s; the suspicion timeout grows with the fleet."""
+        fleet = SimulatedFleet(count)
         for _ in range(20):
-            fleet.round()
-        self.assertEqual({frozenset(fleet.known)}, fleet.believed_alive())
-        fleet.gone = {f"e{number}" for number in range(2, 2 + gone)}
+            fleet.run_round()
+        self.assertEqual({frozenset(fleet.entries)}, fleet.views_of_alive())
+        fleet.failed = {f"e{number}" for number in range(2, 2 + gone)}
         rounds = 0
-        while fleet.believed_alive() != {frozenset(fleet.known) - fleet.gone}:
-            fleet.round()
+        while fleet.views_of_alive() != {frozenset(fleet.entries) - fleet.failed}:
+            fleet.run_round()
             rounds += 1
             self.assertLess(rounds * defaults.GOSSIP_S, bound_s)
 
-    def test_two_that_can_t_reach_each_other_stay_alive_by_a_third(self) -> None:
-        fleet = MemberFleet(12)
-        fleet.cuts = {frozenset((f"e{a}", f"e{b}")) for a in (1, 2) for b in (3, 4)}
+    def test_entries_that_can_t_reach_each_other_stay_alive_through_others(self) -> None:
+        fleet = SimulatedFleet(12)
+        fleet.cut_links = {frozenset((f"e{a}", f"e{b}")) for a in (1, 2) for b in (3, 4)}
         for number in range(100):
-            fleet.round()
+            fleet.run_round()
             if number > 20:
-                self.assertEqual({frozenset(fleet.known)}, fleet.believed_alive())
+                self.assertEqual({frozenset(fleet.entries)}, fleet.views_of_alive())
 
-    def test_one_that_slept_learns_who_died(self) -> None:
-        fleet = MemberFleet(89)
+    def test_an_entry_that_was_away_learns_which_entries_died(self) -> None:
+        fleet = SimulatedFleet(89)
         for _ in range(20):
-            fleet.round()
-        fleet.gone = {"e5", "e6"}
+            fleet.run_round()
+        fleet.failed = {"e5", "e6"}
         for _ in range(20):
-            fleet.round()
-        fleet.gone = {"e5"}
+            fleet.run_round()
+        fleet.failed = {"e5"}
         rounds = 0
-        while fleet.believed_alive() != {frozenset(fleet.known) - fleet.gone}:
-            fleet.round()
+        while fleet.views_of_alive() != {frozenset(fleet.entries) - fleet.failed}:
+            fleet.run_round()
             rounds += 1
             self.assertLess(rounds * defaults.GOSSIP_S, 6.0)
 
     @parameterized.expand(
         [
-            # entries, share of questions without an answer, most KB a second and entry, all live
-            ("today, a tenth lost", 12, 0.1, 15, True),
-            ("grown, few lost", 74, 0.02, 15, True),
-            ("grown, a tenth lost", 74, 0.1, 25, True),
-            ("grown, a third lost", 74, 0.3, 25, False),
+            # entries, share of messages lost, most KB a second for each entry, all stay alive
+            ("small, a tenth lost", 12, 0.1, 15, True),
+            ("medium, few lost", 74, 0.02, 15, True),
+            ("medium, a tenth lost", 74, 0.1, 25, True),
+            ("medium, a third lost", 74, 0.3, 25, False),
             ("large, few lost", 195, 0.03, 15, True),
             ("large, a tenth lost", 195, 0.1, 25, True),
         ]
     )
-    def test_lost_answers_cause_no_storm(
+    def test_lost_messages_cause_no_message_storm(
         self, _name: str, count: int, lost: float, most_kb: float, all_live: bool
     ) -> None:
-        """A play of 74 entries drowned in pushes: news of suspects made answers late."""
-        fleet = MemberFleet(count)
+        """Pushes of suspicions delay answers, which causes more suspicions; 74 entries overload so."""
+        fleet = SimulatedFleet(count)
         for _ in range(15):
-            fleet.round()
-        fleet.lost = lost
-        fleet.sent.clear()
+            fleet.run_round()
+        fleet.loss = lost
+        fleet.sent_bytes.clear()
         for _ in range(25):
-            fleet.round()
-        kb_s = sum(fleet.sent) / count / (25 * defaults.GOSSIP_S) / 1000
+            fleet.run_round()
+        kb_s = sum(fleet.sent_bytes) / count / (25 * defaults.GOSSIP_S) / 1000
         self.assertLess(kb_s, most_kb)
         if all_live:
-            self.assertEqual({frozenset(fleet.known)}, fleet.believed_alive())
+            self.assertEqual({frozenset(fleet.entries)}, fleet.views_of_alive())
 
-    @parameterized.expand([("today", 12), ("grown", 89), ("the letter's", 530)])
-    def test_a_quiet_round_costs_the_same_at_any_size(self, _name: str, count: int) -> None:
-        fleet = MemberFleet(count)
+    @parameterized.expand([("today", 12), ("grown", 89), ("the largest fleet", 530)])
+    def test_a_quiet_round_costs_the_same_at_any_fleet_size(self, _name: str, count: int) -> None:
+        fleet = SimulatedFleet(count)
         for _ in range(12):
-            fleet.round()
-        fleet.sent.clear()
+            fleet.run_round()
+        fleet.sent_bytes.clear()
         for _ in range(5):
-            fleet.round()
-        per_entry_s = sum(fleet.sent) / count / (5 * defaults.GOSSIP_S)
+            fleet.run_round()
+        per_entry_s = sum(fleet.sent_bytes) / count / (5 * defaults.GOSSIP_S)
         self.assertLess(per_entry_s, 2000)
--- a/tests/traffic/test_registry.py
+++ b/tests/traffic/test_registry.py
@@ -20,7 +20,7 @@
 
 
 class TableFeed(Feed):
-    """Reads a table in memory."""
+    """Feed of a table in memory."""
 
     def __init__(self, table: MemoryTable) -> None:
         self._table = table
@@ -29,11 +29,11 @@
         return await self._table.changes((prefix,), Revision(0))
 
     async def follow(self, prefix: str, since: Revision, wait_s: float) -> Changes:
-        raise AssertionError("not asked for")
+        raise AssertionError("the registry reads snapshots only")
 
 
-class TogetherFeed(TableFeed):
-    """Lets the first reads of two entries pass before either writes."""
+class BarrierFeed(TableFeed):
+    """Holds the first two reads until both were made, so that two entries start together."""
 
     def __init__(self, table: MemoryTable) -> None:
         super().__init__(table)
@@ -59,8 +59,8 @@
             for name, known in self.known.items()
         }
 
-    async def test_entries_that_start_at_the_same_moment_know_of_each_other(self) -> None:
-        feed = TogetherFeed(self.table)
+    async def test_of_two_entries_that_start_together_one_finds_the_other(self) -> None:
+        feed = BarrierFeed(self.table)
         registries = [
             Registry(feed, self.table, JsonRowCodec(), self.known[name].members, seeded_rng())
             for name in ("e1", "e2")
@@ -74,7 +74,7 @@
             await self.registries[name].register()
 
     async def rows(self) -> t.Dict[str, Revision]:
-        """Revisions by entry."""
+        """Returns the revisions of the entries' rows by entry id."""
         changes = await self.table.changes((PREFIX,), Revision(0))
         return {
             row.key.removeprefix(PREFIX): row.revision
@@ -82,16 +82,16 @@
             if row.value is not None
         }
 
-    def meet(self, *names: str) -> None:
-        """Let these hear each other live."""
+    def exchange_records(self, *names: str) -> None:
+        """Lets these entries exchange records, so that they hold each other alive."""
         owns = [self.known[name].members.own_record for name in names]
-        # A new beat refutes that they are dead, as which the store's rows make them known.
+        # Entries known from rows alone are dead; a higher beat refutes that.
         records = [msgspec.structs.replace(own, beat=own.beat + 1) for own in owns]
         for name in names:
             self.known[name].members.merge_records(records)
 
     def forget(self, *names: str) -> None:
-        """Let these forget all whom they don't hear."""
+        """Lets these entries forget all others, which have been dead for long."""
         self.clock.advance(defaults.ENTRY_FORGET_S + 10.0)
         for name in names:
             members = self.known[name].members
@@ -102,34 +102,36 @@
         for name in names:
             await self.registries[name].reconcile()
 
-    async def test_one_that_starts_knows_those_that_are_there(self) -> None:
+    async def test_an_entry_that_starts_discovers_the_registered_ones(self) -> None:
         await self.register("e1", "e2")
         self.assertEqual({"e1", "e2"}, self.known["e2"].members.known_ids())
         self.assertEqual({"e1"}, self.known["e1"].members.known_ids())
         await self.registries["e1"].unregister()
         self.assertEqual({"e2"}, set(await self.rows()))
 
-    async def test_a_row_that_can_t_be_read_is_passed_over(self) -> None:
+    async def test_a_row_that_can_t_be_decoded_is_skipped(self) -> None:
         await self.table.transact([Write(PREFIX + "bad", b"no record")])
         await self.register("e1")
         await self.reconcile("e1")
         await self.reconcile("e1")
         self.assertEqual({"bad", "e1"}, set(await self.rows()))
 
-    async def test_the_row_of_one_that_is_lost_for_good_goes(self) -> None:
+    async def test_the_row_of_an_entry_that_is_lost_for_good_is_deleted(self) -> None:
         await self.register("e3", "e1")
         self.forget("e1")
         self.assertEqual({"e1"}, self.known["e1"].members.known_ids())
         await self.reconcile("e1")
-        # It is asked for a while first.
+        # The entry is added as a member and probed first.
         self.assertEqual({"e1", "e3"}, set(await self.rows()))
         self.assertEqual({"e1", "e3"}, self.known["e1"].members.known_ids())
         self.forget("e1")
         await self.reconcile("e1")
         self.assertEqual({"e1"}, set(await self.rows()))
 
-    @parameterized.expand([("that is heard of", True), ("that has started anew", False)])
-    async def test_the_row_of_one_stays(self, _name: str, heard: bool) -> None:
+    @parameterized.expand(
+        [("of an entry that is heard of", True), ("of one that has restarted", False)]
+    )
+    async def test_the_row_is_kept(self, _name: str, heard: bool) -> None:
         await self.register("e3", "e1")
         self.forget("e1")
         await self.reconcile("e1")
@@ -141,10 +143,10 @@
         await self.reconcile("e1")
         self.assertEqual({"e1", "e3"}, set(await self.rows()))
 
-    async def test_regions_that_forgot_each_other_meet_again(self) -> None:
-        """Each side removes the other's row and writes its own back, while they are cut."""
+    async def test_regions_that_forgot_each_other_reconnect(self) -> None:
+        """During a partition each side deletes the other's row and writes its own back."""
         await self.register("e1", "e2")
-        self.meet("e1", "e2")
+        self.exchange_records("e1", "e2")
         for name, other in (("e1", "e2"), ("e2", "e1")):
             for _ in range(defaults.SUSPECT_MISSES):
                 self.known[name].members.record_probe_failure(make_record(other).peer_address)
@@ -159,29 +161,29 @@
         )
         for _ in range(2):
             await self.reconcile("e1", "e2")
-        # One that is known is asked, and who asks is heard of.
+        # One side is enough: it probes the other, which learns of it by that.
         known = [len(self.known[name].members.known_ids()) for name in ("e1", "e2")]
         self.assertEqual(2, max(known))
 
-    async def test_rows_of_the_living_come_back(self) -> None:
+    async def test_missing_rows_of_live_entries_are_written_back(self) -> None:
         await self.register("e1", "e2")
-        self.meet("e1", "e2")
+        self.exchange_records("e1", "e2")
         for known in self.known.values():
             known.members.update_own(ready=True)
-        self.meet("e1", "e2")
+        self.exchange_records("e1", "e2")
         for name in ("e1", "e2"):
             await self.table.transact([Write(PREFIX + name, None)])
         await self.reconcile("e1", "e2")
         self.assertEqual({"e1", "e2"}, set(await self.rows()))
 
-    async def test_only_the_first_in_rank_does_it(self) -> None:
+    async def test_only_the_first_in_rank_reconciles(self) -> None:
         await self.register("e1", "e2", "e3")
-        self.meet("e1", "e2", "e3")
+        self.exchange_records("e1", "e2", "e3")
         before = self.table._counters.table_reads
         await self.reconcile("e1", "e2", "e3")
         self.assertEqual(before + 1, self.table._counters.table_reads)
 
-    async def test_an_outage_at_the_start_is_waited_out(self) -> None:
+    async def test_registration_is_retried_during_an_outage(self) -> None:
         self.table.gate.set(ServiceFault(mode=FaultMode.DOWN, calls=2))
         await asyncio.wait_for(self.registries["e1"].register(), 5.0)
         self.assertEqual({EntryId("e1")}, set(await self.rows()))
--- a/tests/traffic/test_store_clock.py
+++ b/tests/traffic/test_store_clock.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry knows of the store's clock."""
+"""Tests of the bound that an entry keeps on the store's clock."""
 
 import random
 import typing as t
@@ -21,14 +21,18 @@
         self.store_clock = StoreClock(self.clock)
 
     def ask(self, there_s: float, back_s: float) -> None:
-        """Ask the store, whose clock is ahead, with an answer that takes its time."""
+        """Observes one answer of the store, whose clock is ahead.
+
+        :param there_s: seconds until the request arrives.
+        :param back_s: seconds until the answer arrives.
+        """
         asked_at = self.clock.monotonic()
         self.clock.advance(there_s)
         shown = self.clock.monotonic() + AHEAD_S
         self.clock.advance(back_s)
         self.store_clock.observe(asked_at, shown)
 
-    def test_nothing_known(self) -> None:
+    def test_without_any_observation(self) -> None:
         self.assertEqual(float("inf"), self.store_clock.age_s(5.0))
         self.assertIsNone(self.store_clock.latest_s())
 
@@ -39,7 +43,7 @@
             ("slow on the way back", 0.0, 0.8, 0.0),
         ]
     )
-    def test_an_age_is_a_bound(
+    def test_an_age_is_an_upper_bound(
         self, _name: str, there_s: float, back_s: float, too_old_s: float
     ) -> None:
         self.ask(there_s, back_s)
@@ -49,22 +53,23 @@
         self.assertGreaterEqual(age, 2.0)
         self.assertLess(age, 2.0 + too_old_s + _DRIFT_S)
 
-    def test_the_best_answer_counts(self) -> None:
+    def test_the_tightest_bound_is_kept(self) -> None:
         self.ask(0.0, 0.01)
         self.ask(0.9, 0.0)
         self.assertLess(self.store_clock.age_s(self.clock.monotonic() + AHEAD_S), _DRIFT_S)
 
-    def test_an_old_bound_gives_way_to_drift(self) -> None:
+    def test_an_old_bound_is_loosened_by_drift(self) -> None:
         self.ask(0.0, 0.0)
         shown = self.clock.monotonic() + AHEAD_S
         self.clock.advance(1000.0)
         self.assertGreater(self.store_clock.age_s(shown), 1000.1)
 
     @parameterized.expand([("forward", 60.0), ("backward", -60.0)])
-    def test_a_clock_that_jumps_is_learnt_anew(self, _name: str, jump_s: float) -> None:
+    def test_a_jump_of_the_store_s_clock_is_followed(self, _name: str, jump_s: float) -> None:
         self.ask(0.0, 0.0)
         shown = self.clock.monotonic() + AHEAD_S + jump_s
-        # Until it is: what seems to come from the future is of no known age, the rest seems old.
+        # Until the next observation, times that seem to be in the future have no finite age, and all
+        # others seem old.
         self.assertGreater(self.store_clock.age_s(shown), 50.0)
         self.store_clock.observe(self.clock.monotonic(), shown)
         self.clock.advance(1.0)
@@ -72,7 +77,7 @@
 
     @hypothesis.given(seed=st.integers(0, 10_000))
     @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
-    def test_told_from_entry_to_entry_it_stays_a_bound(self, seed: int) -> None:
+    def test_passed_between_entries_it_stays_an_upper_bound(self, seed: int) -> None:
         rng = random.Random(seed)
         clocks = [ManualClock(rng.uniform(0.0, 1e4)) for _ in range(4)]
         known = [StoreClock(clock) for clock in clocks]
