--- a/tests/traffic/entry_fixture.py
+++ b/tests/traffic/entry_fixture.py
@@ -1,4 +1,4 @@
-"""An entry's knowledge without its process, for tests: rows as plain JSON, moved by hand."""
+"""An entry's state without its process, for tests; rows are plain JSON."""
 
 import random
 import typing as t
@@ -25,7 +25,7 @@
 
 
 class JsonRowCodec(RowCodec):
-    """Rows as the product itself would encode them."""
+    """Rows as JSON of the model."""
 
     state_prefix = "state/"
     target_prefix = "targets/"
@@ -53,7 +53,11 @@
 
 
 class EntryFixture:
-    """A belief, its clock, and who it is told by."""
+    """An entry's state view, members and exchange, without sockets.
+
+    :param clock: a clock that is moved by hand, if not given.
+    :param seed: seed of the members' randomness.
+    """
 
     def __init__(
         self, name: str = "e1", clock: t.Optional[Clock] = None, seed: t.Optional[int] = None
@@ -73,6 +77,7 @@
         )
 
     def learn_state(self, revision: int, key: str, value: t.Any) -> None:
+        """Applies one state row, as a read of the store now; ``None`` deletes it."""
         rows = self.state_view.state_rows
         data = None if value is None else msgspec.json.encode(value)
         row = Row(key, data, Revision(revision))
@@ -80,6 +85,7 @@
         self.state_view.apply_state_changes(rows.apply_changes([row], Revision(revision), at))
 
     def learn_targets(self, revision: int, *targets: Target) -> None:
+        """Applies a snapshot of the target rows, as a read of the store now."""
         rows = self.state_view.target_rows
         listed = [
             Row(f"targets/{target.target_id}", msgspec.json.encode(target), Revision(revision))
@@ -90,7 +96,7 @@
         self.state_view.apply_target_changes(rows.apply_snapshot(listed, Revision(revision), at))
 
     def _read_now(self) -> float:
-        """The time of the store's clock, which shows the same as this entry's."""
+        """Observes the store's clock, which shows the same as the entry's; returns its time."""
         now = self.clock.monotonic()
         self.state_view.store_clock.observe(now, now)
         return now
--- a/tests/traffic/makers.py
+++ b/tests/traffic/makers.py
@@ -1,4 +1,4 @@
-"""Values that tests of the steering share."""
+"""Factories and fixtures that the tests of steering share."""
 
 import random
 import typing as t
@@ -31,7 +31,7 @@
 
 
 def make_settings(**changes: t.Any) -> SteerSettings:
-    """Settings of an entry in the zone sierra-norte."""
+    """Returns settings of an entry in the zone sierra-norte."""
     fields: t.Dict[str, t.Any] = {
         "entry_id": EntryId("e1"),
         "zone": NORTE,
@@ -47,7 +47,7 @@
 
 
 def make_route(**changes: t.Any) -> Route:
-    """A route of unsafe requests to the service pedidos."""
+    """Returns a route of unsafe requests to the service pedidos."""
     fields: t.Dict[str, t.Any] = {
         "route_id": RouteId("r1"),
         "host": "a.example",
@@ -64,7 +64,7 @@
 
 
 def make_target(number: int = 1, **changes: t.Any) -> Target:
-    """A target of the service pedidos in sierra-norte."""
+    """Returns a target of the service pedidos in sierra-norte."""
     fields: t.Dict[str, t.Any] = {
         "target_id": TargetId(f"t{number}"),
         "service": PEDIDOS,
@@ -76,7 +76,7 @@
 
 
 def make_state(version: int = 1, *routes: Route) -> DesiredState:
-    """A desired state with these routes, or one."""
+    """Returns a desired state with these routes, or with one default route."""
     rules = ServiceRules(service=PEDIDOS, max_connections=100, warmup_s=3.0, warmup_per_s=9.0)
     return DesiredState(
         version=version,
@@ -92,7 +92,7 @@
 
 
 def make_tenant(name: str = "acme", **changes: t.Any) -> Tenant:
-    """A tenant with one key, which is its name with a prefix."""
+    """Returns a tenant with one key, which is its name with a prefix."""
     fields: t.Dict[str, t.Any] = {
         "tenant_id": TenantId(name),
         "keys": (f"key-{name}".encode(),),
@@ -101,7 +101,7 @@
 
 
 def make_record(name: str, **changes: t.Any) -> EntryRecord:
-    """A record of an entry in sierra-norte that can serve."""
+    """Returns the record of a serving entry in sierra-norte."""
     fields: t.Dict[str, t.Any] = {
         "entry_id": EntryId(name),
         "incarnation": Incarnation(1),
@@ -118,14 +118,18 @@
 def cold_share_of(
     entry_id: EntryId, entries: t.Collection[EntryId], target_id: TargetId, per_s: float
 ) -> int:
-    """What one entry may send to a cold target, as it knows the entries."""
+    """Returns the requests a second that an entry may send to a cold target.
+
+    :param entries: the entries that share the target's limit.
+    :param per_s: the limit.
+    """
     shares = ColdShares(entry_id)
     shares.set_entries(entries)
     return shares.of(target_id, per_s)
 
 
 class SteeringFixture:
-    """A steering with targets on a clock that is moved by hand."""
+    """Steering with targets, on a clock that is moved by hand."""
 
     def __init__(
         self,
@@ -141,11 +145,11 @@
         self.set_targets(*targets)
 
     def set_targets(self, *targets: Target) -> None:
-        """Let these be all targets that there are."""
+        """Replaces all targets."""
         by_id = {target.target_id: target for target in targets}
         self.targets.update(by_id)
 
 
 def seeded_rng() -> random.Random:
-    """Randomness that is the same in each run."""
+    """Returns a random generator with a fixed seed."""
     return random.Random(7)
--- a/tests/traffic/test_gossip.py
+++ b/tests/traffic/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of whom an entry talks with, and of what all rows cost one that starts."""
+"""Tests of gossip: the choice of peers, the start of an entry, relay order, and deltas."""
 
 import asyncio
 import random
@@ -27,20 +27,24 @@
 
 TARGETS = 300
 MANY = pack(Revision(0), Revision(1), [DeltaRow(f"t{n}", Revision(n), b"x") for n in range(900)])
-#: Seventy million bytes that take few.
+#: 70 MiB, beyond the limit, that compress to little.
 HUGE = zlib.compress(bytes(70 * 1024 * 1024), 1)
 
 
 class CarryingLinks:
-    """Carries messages to the entries known to it, and counts those that bring all rows."""
+    """Links that deliver messages by direct calls, and count answers that hold all rows.
+
+    :param others: entries that can be reached.
+    :param way_s: seconds that a message takes.
+    """
 
     def __init__(self, others: t.Sequence[EntryFixture], way_s: float) -> None:
-        self.others = {known.members.own_record.peer_address: known for known in others}
+        self.others = {entry.members.own_record.peer_address: entry for entry in others}
         self.way_s = way_s
         self.brought_all = 0
-        #: Addresses that take a question and never answer.
+        #: Addresses that accept a message and never answer.
         self.silent: t.Set[str] = set()
-        #: Addresses that nothing listens at.
+        #: Addresses that refuse connections.
         self.refusing: t.Set[str] = set()
         self.asked: t.List[str] = []
 
@@ -50,7 +54,7 @@
         self.asked.append(address)
         await asyncio.sleep(self.way_s)
         if address in self.refusing or address not in self.others:
-            raise PeerUnreachableError("nothing listens")
+            raise PeerUnreachableError("connection refused")
         if address in self.silent:
             await asyncio.sleep(defaults.GOSSIP_TIMEOUT_S)
             raise PeerUnreachableError("no answer")
@@ -69,17 +73,19 @@
 
 
 class StartTest(unittest.TestCase):
-    @parameterized.expand([("all answer", 0), ("one is silent", 1), ("most are silent", 7)])
-    def test_an_entry_that_starts_gets_all_rows_once(self, _name: str, silent: int) -> None:
+    @parameterized.expand(
+        [("all answer", 0), ("one does not answer", 1), ("most do not answer", 7)]
+    )
+    def test_an_entry_that_starts_receives_all_rows_once(self, _name: str, silent: int) -> None:
         async def main(clock: LoopClock) -> t.Tuple[int, int, float]:
             others = [EntryFixture(f"e{number}", clock) for number in range(8)]
-            for known in others:
-                known.learn_state(1, "state/a", make_state(3))
-                known.learn_targets(2, *[make_target(number) for number in range(TARGETS)])
+            for entry in others:
+                entry.learn_state(1, "state/a", make_state(3))
+                entry.learn_targets(2, *[make_target(number) for number in range(TARGETS)])
             links = CarryingLinks(others, 0.02)
-            links.silent = {known.members.own_record.peer_address for known in others[:silent]}
+            links.silent = {entry.members.own_record.peer_address for entry in others[:silent]}
             new = EntryFixture("new", clock)
-            new.members.merge_records([known.members.own_record for known in others])
+            new.members.merge_records([entry.members.own_record for entry in others])
             gossip = Gossip(
                 new.exchange, new.members, t.cast(t.Any, links), [], clock, seeded_rng()
             )
@@ -98,8 +104,8 @@
             self.assertLess(took_s, 0.12)
 
 
-class Starting:
-    """An entry that starts: its gossip, and the follower of its targets' rows."""
+class StartingEntry:
+    """An entry that starts: its gossip and its two followers."""
 
     def __init__(
         self,
@@ -111,14 +117,14 @@
         first_start: bool = False,
         seed: int = 0,
     ) -> None:
-        self.known = EntryFixture(name, clock, seed=seed)
-        own = self.known.members.own_record
+        self.entry = EntryFixture(name, clock, seed=seed)
+        own = self.entry.members.own_record
         settings = make_settings(
             peer_address=own.peer_address, seeds=tuple(seeds), first_start=first_start
         )
         self.gossip = Gossip(
-            self.known.exchange,
-            self.known.members,
+            self.entry.exchange,
+            self.entry.members,
             t.cast(t.Any, links),
             seeds,
             clock,
@@ -128,14 +134,14 @@
         self.followers = [self._follower(prefix, feed) for prefix in ("state/", "targets/")]
 
     def _follower(self, prefix: str, feed: MemoryFeed) -> Follower:
-        state_view = self.known.state_view
+        state_view = self.entry.state_view
         of_state = prefix == "state/"
         return Follower(
             prefix,
             state_view.state_rows if of_state else state_view.target_rows,
             feed,
-            self.known.members,
-            self.known.clock,
+            self.entry.members,
+            self.entry.clock,
             state_view.store_clock,
             seeded_rng(),
             pace=pace_of(2.0),
@@ -152,11 +158,11 @@
         await asyncio.gather(self.gossip.run(), *[follower.run() for follower in self.followers])
 
     def ready(self) -> bool:
-        return self.known.state_view.is_complete
+        return self.entry.state_view.is_complete
 
 
 def filled_feed(clock: Clock, targets: int) -> MemoryFeed:
-    """A store with a desired state and targets."""
+    """Returns a store with a desired state and targets."""
     feed = MemoryFeed(clock)
     feed.put("state/a", make_state(3))
     for number in range(targets):
@@ -165,20 +171,23 @@
 
 
 class SeedsTest(unittest.TestCase):
-    """A first start reads the store at its seeds alone; any other asks seeds and store at once."""
+    """At a first start only seeds read the store; else an entry asks seeds and store together."""
 
     def start_one(
         self, silent: int, refusing: int, seeds: int = 3, down: bool = False
     ) -> t.Tuple[float, int]:
-        """Start one entry beside three that know all; seconds until it is ready, its snapshots."""
+        """Starts one entry beside three that know all rows.
+
+        Returns the seconds until it is ready, and the number of snapshots that it read.
+        """
 
         async def main(clock: LoopClock) -> t.Tuple[float, int]:
             feed = filled_feed(clock, 20)
             links = CarryingLinks([], 0.03)
-            starting = [Starting(f"s{n}", clock, feed, links, []) for n in range(3)]
-            addresses = [one.known.members.own_record.peer_address for one in starting]
+            starting = [StartingEntry(f"s{n}", clock, feed, links, []) for n in range(3)]
+            addresses = [one.entry.members.own_record.peer_address for one in starting]
             links.others = {
-                address: one.known for address, one in zip(addresses, starting, strict=True)
+                address: one.entry for address, one in zip(addresses, starting, strict=True)
             }
             work = [asyncio.create_task(one.run()) for one in starting]
             await asyncio.sleep(1.0)
@@ -186,7 +195,7 @@
             links.refusing = set(addresses[silent : silent + refusing])
             feed.down = down
             before = feed.snapshots
-            new = Starting("new", clock, feed, links, addresses[:seeds], seed=7)
+            new = StartingEntry("new", clock, feed, links, addresses[:seeds], seed=7)
             work.append(asyncio.create_task(new.run()))
             began = clock.monotonic()
             while not new.ready() and clock.monotonic() < began + 5.0:  # noqa: ASYNC110
@@ -201,15 +210,15 @@
     @parameterized.expand(
         [
             ("all seeds answer", 0, 0, 3, False, 0.02, 2),
-            ("all are gone", 0, 3, 3, False, 0.02, 2),
-            ("all are silent", 3, 0, 3, False, 0.02, 2),
+            ("all refuse connections", 0, 3, 3, False, 0.02, 2),
+            ("none answers", 3, 0, 3, False, 0.02, 2),
             ("there are none", 0, 0, 0, False, 0.02, 2),
-            ("the store is away", 0, 0, 3, True, 0.3, 0),
-            ("the store is away, and one seed is silent", 1, 0, 3, True, 0.3, 0),
-            ("the store is away, and one seed is gone", 0, 1, 3, True, 0.3, 0),
+            ("the store is down", 0, 0, 3, True, 0.3, 0),
+            ("the store is down, and one seed does not answer", 1, 0, 3, True, 0.3, 0),
+            ("the store is down, and one seed refuses", 0, 1, 3, True, 0.3, 0),
         ]
     )
-    def test_one_that_starts(
+    def test_time_until_ready(
         self,
         _name: str,
         silent: int,
@@ -223,29 +232,29 @@
         self.assertLess(took_s, within_s)
         self.assertEqual(snapshots, made)
 
-    @parameterized.expand([("one that starts", False, 0), ("one that serves", True, 1)])
-    def test_who_blames_those_that_do_not_answer(
-        self, _name: str, knows_rows: bool, blamed: int
+    @parameterized.expand([("starting entry", False, 0), ("serving entry", True, 1)])
+    def test_only_a_serving_entry_suspects_those_that_do_not_answer(
+        self, _name: str, knows_rows: bool, suspicions: int
     ) -> None:
-        """What one that starts asks may be starting, too."""
+        """Entries that a starting one contacts may be starting, too."""
 
         async def main(clock: LoopClock) -> int:
             links = CarryingLinks([], 0.01)
-            one = Starting("e1", clock, MemoryFeed(clock), links, [])
-            one.known.members.merge_records([make_record("e2")])
+            one = StartingEntry("e1", clock, MemoryFeed(clock), links, [])
+            one.entry.members.merge_records([make_record("e2")])
             if knows_rows:
-                one.known.learn_state(1, "state/a", make_state(3))
-                one.known.learn_targets(2, make_target(1))
+                one.entry.learn_state(1, "state/a", make_state(3))
+                one.entry.learn_targets(2, make_target(1))
             work = asyncio.create_task(one.gossip.run())
             await asyncio.sleep(1.5)
             work.cancel()
-            return len(one.known.members.all_suspicions())
+            return len(one.entry.members.all_suspicions())
 
-        self.assertEqual(blamed, run_virtual(main))
+        self.assertEqual(suspicions, run_virtual(main))
 
-    @parameterized.expand([("large", 195), ("the letter's", 530)])
-    def test_all_start_at_once_for_the_first_time(self, _name: str, count: int) -> None:
-        """The seeds read for all; the others know all rows and most entries within a second."""
+    @parameterized.expand([("large", 195), ("the largest fleet", 530)])
+    def test_first_start_of_a_whole_fleet(self, _name: str, count: int) -> None:
+        """Only seeds read the store, and all entries have the rows within a second."""
 
         async def main(clock: LoopClock) -> t.Tuple[float, int, int, int]:
             feed = filled_feed(clock, 3)
@@ -253,7 +262,7 @@
             names = [f"e{number}" for number in range(count)]
             addresses = [make_record(name).peer_address for name in names]
             fleet = [
-                Starting(name, clock, feed, links, addresses[:3], True, seed=number)
+                StartingEntry(name, clock, feed, links, addresses[:3], True, seed=number)
                 for number, name in enumerate(names)
             ]
             rng = seeded_rng()
@@ -262,27 +271,27 @@
                 zip(fleet, addresses, strict=True), key=lambda _: rng.random()
             ):
                 work.append(asyncio.create_task(one.run()))
-                links.others[address] = one.known
+                links.others[address] = one.entry
                 await asyncio.sleep(0.3 / count)
             began = clock.monotonic()
             while not all(one.ready() for one in fleet):  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
             took_s = clock.monotonic() - began
-            fewest = min(len(one.known.members.alive_records()) for one in fleet)
-            blamed = sum(len(one.known.members.all_suspicions()) for one in fleet)
+            fewest = min(len(one.entry.members.alive_records()) for one in fleet)
+            suspicions = sum(len(one.entry.members.all_suspicions()) for one in fleet)
             for task in work:
                 task.cancel()
-            return took_s, feed.snapshots, fewest, blamed
+            return took_s, feed.snapshots, fewest, suspicions
 
-        took_s, snapshots, fewest, blamed = run_virtual(main)
-        self.assertEqual(0, blamed)
+        took_s, snapshots, fewest, suspicions = run_virtual(main)
+        self.assertEqual(0, suspicions)
         self.assertLess(took_s, 1.0)
         self.assertEqual(3 * 2, snapshots)
         self.assertGreater(fewest, 3)
 
 
 class NeighboursTest(unittest.TestCase):
-    def asked_by(self, name: str, others: t.Sequence[str], rounds: int) -> t.Set[str]:
+    def probed_by(self, name: str, others: t.Sequence[str], rounds: int) -> t.Set[str]:
         members = Members(make_record(name), ManualClock(100.0), seeded_rng())
         members.merge_records([make_record(other) for other in others if other != name])
         found: t.Set[str] = set()
@@ -290,23 +299,23 @@
             found |= {record.entry_id for record in members.choose_peers(defaults.GOSSIP_FANOUT)}
         return found
 
-    @parameterized.expand([("today", 12, 11), ("the letter's", 530, 12)])
-    def test_one_asks_the_same_few(self, _name: str, count: int, most: int) -> None:
+    @parameterized.expand([("today", 12, 11), ("the largest fleet", 530, 12)])
+    def test_an_entry_probes_the_same_few(self, _name: str, count: int, most: int) -> None:
         names = [f"e{number}" for number in range(count)]
-        self.assertEqual(most, len(self.asked_by("e0", names, 400)))
+        self.assertEqual(most, len(self.probed_by("e0", names, 400)))
 
-    def test_each_is_asked_by_some(self) -> None:
+    def test_each_entry_is_probed_by_some(self) -> None:
         names = [f"e{number}" for number in range(300)]
-        askers = dict.fromkeys(names, 0)
+        prober_counts = dict.fromkeys(names, 0)
         for name in names:
-            for other in self.asked_by(name, names, 60):
-                askers[other] += 1
-        self.assertGreaterEqual(min(askers.values()), 3)
-        self.assertLessEqual(max(askers.values()), 40)
+            for other in self.probed_by(name, names, 60):
+                prober_counts[other] += 1
+        self.assertGreaterEqual(min(prober_counts.values()), 3)
+        self.assertLessEqual(max(prober_counts.values()), 40)
 
-    def test_all_are_reached_in_few_steps(self) -> None:
+    def test_the_graph_of_neighbours_has_a_small_diameter(self) -> None:
         names = [f"e{number}" for number in range(300)]
-        asked = {name: self.asked_by(name, names, 60) for name in names}
+        asked = {name: self.probed_by(name, names, 60) for name in names}
         reached, steps = {"e0"}, 0
         while len(reached) < len(names):
             reached |= {other for name in reached for other in asked[name]}
@@ -323,15 +332,15 @@
     def test_the_order_stays_for_a_turn(self) -> None:
         self.assertEqual(self.order("e1", 7), self.order("e1", 7))
 
-    def test_relays_of_like_links_take_turns(self) -> None:
+    def test_relays_with_equal_links_rotate(self) -> None:
         first = {self.order("e1", turn)[0] for turn in range(400)}
         self.assertEqual(40, len(first))
 
-    def test_entries_that_push_at_a_time_have_different_relays(self) -> None:
+    def test_entries_that_push_at_the_same_time_use_different_relays(self) -> None:
         first = {self.order(f"e{number}", 7)[0] for number in range(40)}
         self.assertGreater(len(first), 15)
 
-    def test_one_that_is_gone_moves_nobody_else(self) -> None:
+    def test_losing_an_entry_keeps_the_order_of_the_others(self) -> None:
         before = self.order("e1", 7)
         gone = before[3]
         records = [record for record in self.records if record.entry_id != gone]
@@ -348,7 +357,7 @@
 
 class DeltaTest(unittest.TestCase):
     @parameterized.expand([("few", 3, False), ("many", 300, True)])
-    def test_rows_come_out_as_they_went_in(self, _name: str, count: int, packed: bool) -> None:
+    def test_rows_survive_a_round_trip(self, _name: str, count: int, packed: bool) -> None:
         rows = [DeltaRow(f"targets/t{n}", Revision(n), b'{"zone":"z"}') for n in range(count)]
         rows.append(DeltaRow("targets/gone", Revision(count), None))
         delta = pack(Revision(1), Revision(count), rows)
@@ -359,12 +368,12 @@
     @parameterized.expand(
         [
             ("not packed", Delta(Revision(0), Revision(1), b"no rows", False)),
-            ("cut off", Delta(Revision(0), Revision(1), MANY.rows[:-9], True)),
-            ("whole but for its checksum", Delta(Revision(0), Revision(1), MANY.rows[:-2], True)),
-            ("longer than anybody sends", Delta(Revision(0), Revision(1), HUGE, True)),
+            ("cut short at the end", Delta(Revision(0), Revision(1), MANY.rows[:-9], True)),
+            ("without its checksum's end", Delta(Revision(0), Revision(1), MANY.rows[:-2], True)),
+            ("expanding beyond the limit", Delta(Revision(0), Revision(1), HUGE, True)),
             ("not compressed at all", Delta(Revision(0), Revision(1), b"no rows", True)),
         ]
     )
-    def test_rows_that_can_t_be_read(self, _name: str, delta: Delta) -> None:
+    def test_rows_that_can_t_be_decoded(self, _name: str, delta: Delta) -> None:
         with self.assertRaises(PeerFrameError):
             delta.unpack()
--- a/tests/traffic/test_knowledge.py
+++ b/tests/traffic/test_knowledge.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry knows: replicas, belief, members, who reads, and what entries exchange."""
+"""Tests of replicated state: replicas, the state view, exchanges between entries, and followers."""
 
 import asyncio
 import functools
@@ -31,19 +31,20 @@
 
 
 class MemoryFeed(Feed):
-    """A store in memory with one counter and one clock, as the platform's.
+    """A store in memory with one revision counter and one clock, as the platform's.
 
-    :param clock: tells the time, by which the store's own is 5000 s ahead.
+    :param clock: the entries' clock; the store's own is 5000 s ahead of it.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        #: When it last answered.
+        #: Monotonic time of the last answer.
         self.read_at = -float("inf")
         self.rows: t.Dict[str, Row] = {}
         self.revision = 0
-        self.kept_from = 0
-        #: Seconds between the look at the rows and the answer, which is stamped as it is sent.
+        #: Oldest revision since which changes can be read.
+        self.oldest_since = 0
+        #: Seconds between reading the rows and sending the answer, which is stamped when sent.
         self.slow_s = 0.0
         self.down = False
         self.reads = 0
@@ -63,7 +64,7 @@
 
     async def follow(self, prefix: str, since: Revision, wait_s: float) -> Changes:
         self._read()
-        if since < self.kept_from:
+        if since < self.oldest_since:
             raise HistoryLostError("compacted")
         found = self._after(prefix, since)
         if self.slow_s:
@@ -89,7 +90,7 @@
 
 
 def text_replica(drops_unreadable: bool = False) -> "Replica[str]":
-    """A replica of texts, in which ``bad`` can't be read and case means nothing."""
+    """Returns a replica of case-insensitive texts, of which ``bad`` can't be decoded."""
 
     def decode(key: str, data: bytes) -> str:
         if data == b"bad":
@@ -100,7 +101,7 @@
 
 
 class ReplicaTest(unittest.TestCase):
-    def test_a_row_never_goes_back(self) -> None:
+    def test_a_row_is_never_replaced_by_an_older_revision(self) -> None:
         replica = text_replica()
         replica.apply_changes([Row("k", b"new", Revision(5))], Revision(5), 1.0)
         changed = replica.apply_changes([Row("k", b"old", Revision(4))], Revision(5), 2.0)
@@ -113,13 +114,13 @@
         replica.apply_changes([Row("k", b"a", Revision(5))], Revision(6), 1.0)
         self.assertIsNone(replica.get("k"))
 
-    def test_what_can_t_be_read_leaves_the_last_good_row(self) -> None:
+    def test_an_undecodable_row_leaves_the_last_valid_one(self) -> None:
         replica = text_replica()
         replica.apply_changes([Row("k", b"good", Revision(1))], Revision(1), 1.0)
         changed = replica.apply_changes([Row("k", b"bad", Revision(2))], Revision(2), 1.0)
         self.assertEqual((set(), "good"), (changed, replica.get("k")))
 
-    def test_what_can_t_be_read_ends_the_good_row_if_told_so(self) -> None:
+    def test_an_undecodable_row_deletes_the_valid_one_with_drops_unreadable(self) -> None:
         replica = text_replica(drops_unreadable=True)
         replica.apply_changes([Row("k", b"good", Revision(1))], Revision(1), 1.0)
         changed = replica.apply_changes([Row("k", b"bad", Revision(2))], Revision(2), 1.0)
@@ -131,7 +132,7 @@
         replica.apply_changes([Row("k", b"again", Revision(3))], Revision(3), 1.0)
         self.assertEqual(("again", set()), (replica.get("k"), replica.unreadable_keys))
 
-    def test_a_write_that_says_nothing_new_is_passed_over(self) -> None:
+    def test_a_write_that_does_not_change_the_value_is_skipped(self) -> None:
         replica = text_replica()
         replica.apply_changes([Row("k", b"a", Revision(1))], Revision(1), 1.0)
         self.assertEqual(
@@ -139,20 +140,20 @@
         )
         self.assertEqual((), replica.delta(Revision(1)).unpack())
 
-    def test_a_snapshot_tells_of_what_is_gone(self) -> None:
+    def test_a_snapshot_deletes_rows_that_it_does_not_hold(self) -> None:
         replica = text_replica()
         rows = [Row("a", b"1", Revision(1)), Row("b", b"2", Revision(2))]
         replica.apply_snapshot(rows, Revision(2), 1.0)
         changed = replica.apply_snapshot(rows[:1], Revision(9), 2.0)
         self.assertEqual(({"b"}, {"a": "1"}), (changed, replica.values()))
 
-    def test_an_old_snapshot_changes_nothing(self) -> None:
+    def test_an_older_snapshot_is_ignored(self) -> None:
         replica = text_replica()
         replica.apply_changes([Row("a", b"1", Revision(7))], Revision(7), 1.0)
         replica.apply_snapshot([], Revision(6), 2.0)
         self.assertEqual({"a": "1"}, replica.values())
 
-    def test_a_delta_with_a_gap_before_it_can_t_be_taken(self) -> None:
+    def test_a_delta_after_a_gap_can_t_be_applied(self) -> None:
         source, other = text_replica(), text_replica()
         source.apply_changes([Row("a", b"1", Revision(7))], Revision(7), 1.0)
         source.apply_changes([Row("a", b"2", Revision(9))], Revision(9), 1.0)
@@ -165,7 +166,7 @@
         order=st.randoms(use_true_random=False),
     )
     @hypothesis.settings(derandomize=True, max_examples=120, deadline=None)
-    def test_deltas_in_any_order_and_twice_end_at_the_same_rows(
+    def test_deltas_in_any_order_and_repeated_give_the_same_rows(
         self, writes: t.List[t.Tuple[str, t.Optional[bytes]]], order: t.Any
     ) -> None:
         source = text_replica()
@@ -184,80 +185,80 @@
         self.assertEqual(source.values(), other.values())
 
 
-class BeliefTest(unittest.TestCase):
-    def test_versions_only_rise(self) -> None:
-        known = EntryFixture()
-        known.learn_state(1, "state/a", make_state(7))
-        known.learn_state(2, "state/a", make_state(5))
-        self.assertEqual(7, known.state_view.version)
-        known.learn_state(3, "state/a", None)
-        self.assertEqual(7, known.state_view.version)
-
-    def test_evacuations_come_and_go(self) -> None:
-        known = EntryFixture()
-        known.learn_targets(1, make_target(1))
-        state = known.steered.targets.by_id[TargetId("t1")]
-        known.learn_state(2, f"state/evacuate/{NORTE}", {})
-        self.assertFalse(known.steered.targets.may_use(state))
-        known.learn_state(3, f"state/evacuate/{NORTE}", None)
-        self.assertTrue(known.steered.targets.may_use(state))
-
-    @parameterized.expand([("after an outage", 10.0, True), ("in the middle of a day", 0.5, False)])
-    def test_targets_that_vanish(self, _name: str, silence_s: float, kept: bool) -> None:
-        known = EntryFixture()
-        clock = t.cast(ManualClock, known.clock)
-        known.learn_targets(1, make_target(1), make_target(2))
+class StateViewTest(unittest.TestCase):
+    def test_an_older_version_does_not_take_effect(self) -> None:
+        entry = EntryFixture()
+        entry.learn_state(1, "state/a", make_state(7))
+        entry.learn_state(2, "state/a", make_state(5))
+        self.assertEqual(7, entry.state_view.version)
+        entry.learn_state(3, "state/a", None)
+        self.assertEqual(7, entry.state_view.version)
+
+    def test_evacuations_begin_and_end(self) -> None:
+        entry = EntryFixture()
+        entry.learn_targets(1, make_target(1))
+        state = entry.steered.targets.by_id[TargetId("t1")]
+        entry.learn_state(2, f"state/evacuate/{NORTE}", {})
+        self.assertFalse(entry.steered.targets.may_use(state))
+        entry.learn_state(3, f"state/evacuate/{NORTE}", None)
+        self.assertTrue(entry.steered.targets.may_use(state))
+
+    @parameterized.expand([("after an outage", 10.0, True), ("without an outage", 0.5, False)])
+    def test_targets_whose_rows_are_missing(self, _name: str, silence_s: float, kept: bool) -> None:
+        entry = EntryFixture()
+        clock = t.cast(ManualClock, entry.clock)
+        entry.learn_targets(1, make_target(1), make_target(2))
         clock.advance(silence_s)
-        known.learn_targets(2, make_target(2))
-        self.assertEqual(kept, TargetId("t1") in known.steered.targets.by_id)
+        entry.learn_targets(2, make_target(2))
+        self.assertEqual(kept, TargetId("t1") in entry.steered.targets.by_id)
         clock.advance(defaults.RETURN_GRACE_S)
-        known.state_view.tick()
-        self.assertNotIn(TargetId("t1"), known.steered.targets.by_id)
+        entry.state_view.tick()
+        self.assertNotIn(TargetId("t1"), entry.steered.targets.by_id)
 
-    def test_a_leaving_target_that_vanishes_in_an_outage_is_gone(self) -> None:
-        known = EntryFixture()
-        known.learn_targets(1, make_target(1, leaving=True), make_target(2))
-        t.cast(ManualClock, known.clock).advance(10.0)
-        known.learn_targets(2, make_target(2))
-        self.assertNotIn(TargetId("t1"), known.steered.targets.by_id)
+    def test_a_leaving_target_is_not_retained_after_an_outage(self) -> None:
+        entry = EntryFixture()
+        entry.learn_targets(1, make_target(1, leaving=True), make_target(2))
+        t.cast(ManualClock, entry.clock).advance(10.0)
+        entry.learn_targets(2, make_target(2))
+        self.assertNotIn(TargetId("t1"), entry.steered.targets.by_id)
 
     @parameterized.expand([("before the outage", False), ("after it", True)])
-    def test_a_target_whose_row_can_t_be_read_gets_nothing(self, _name: str, late: bool) -> None:
-        known = EntryFixture()
-        known.learn_targets(1, make_target(1), make_target(2))
+    def test_a_target_whose_row_can_t_be_decoded_is_dropped(self, _name: str, late: bool) -> None:
+        entry = EntryFixture()
+        entry.learn_targets(1, make_target(1), make_target(2))
         if late:
-            t.cast(ManualClock, known.clock).advance(10.0)
-            known.learn_targets(2, make_target(2))
-            self.assertIn(TargetId("t1"), known.steered.targets.by_id)
-        rows = known.state_view.target_rows
+            t.cast(ManualClock, entry.clock).advance(10.0)
+            entry.learn_targets(2, make_target(2))
+            self.assertIn(TargetId("t1"), entry.steered.targets.by_id)
+        rows = entry.state_view.target_rows
         row = Row("targets/t1", b"{", Revision(3))
-        known.state_view.apply_target_changes(rows.apply_changes([row], Revision(3), 1.0))
-        self.assertEqual({TargetId("t2")}, set(known.steered.targets.by_id))
+        entry.state_view.apply_target_changes(rows.apply_changes([row], Revision(3), 1.0))
+        self.assertEqual({TargetId("t2")}, set(entry.steered.targets.by_id))
 
     @parameterized.expand([("newest first", (4, 3)), ("in order", (3, 4))])
-    def test_a_new_lifetime_under_an_id_starts_with_nothing(
+    def test_a_new_lifetime_of_a_target_starts_with_fresh_statistics(
         self, _name: str, order: t.Sequence[int]
     ) -> None:
-        """An entry that was away hears of both lifetimes by deltas, in any order."""
-        known = EntryFixture()
-        known.learn_targets(1, make_target(1, born=100), make_target(2))
-        before = known.steered.targets.by_id[TargetId("t1")]
+        """An entry that was cut off receives rows of both lifetimes by deltas, in any order."""
+        entry = EntryFixture()
+        entry.learn_targets(1, make_target(1, born=100), make_target(2))
+        before = entry.steered.targets.by_id[TargetId("t1")]
         before.report(4, 9)
         before.fail(reached=False)
         born_by_revision = {3: 100, 4: 200}
         for revision in order:
             target = make_target(1, born=born_by_revision[revision], cold_s=3.0)
             row = Row("targets/t1", msgspec.json.encode(target), Revision(revision))
-            rows = known.state_view.target_rows
-            known.state_view.apply_target_changes(rows.apply_changes([row], Revision(4), 1.0))
-        state = known.steered.targets.by_id[TargetId("t1")]
+            rows = entry.state_view.target_rows
+            entry.state_view.apply_target_changes(rows.apply_changes([row], Revision(4), 1.0))
+        state = entry.steered.targets.by_id[TargetId("t1")]
         self.assertEqual(200, state.target.born)
         self.assertEqual((0.0, True, True), (state.load(), state.usable(), state.is_cold()))
-        self.assertFalse(known.steered.targets.may_use(before))
+        self.assertFalse(entry.steered.targets.may_use(before))
 
 
 class ExchangeTest(unittest.TestCase):
-    def test_the_one_behind_learns_and_ages_are_kept(self) -> None:
+    def test_newer_rows_are_sent_with_their_age(self) -> None:
         ahead, behind = EntryFixture("e1"), EntryFixture("e2")
         ahead.learn_state(3, "state/a", make_state(4))
         ahead.learn_targets(5, make_target(1))
@@ -266,25 +267,25 @@
         self.assertFalse(behind.exchange.take(answer, behind.clock.monotonic()))
         self.assertEqual(4, behind.state_view.version)
         self.assertIn(TargetId("t1"), behind.steered.targets.by_id)
-        # A bound: never too young, and too old by no more than clocks may drift.
+        # The age is an upper bound, which exceeds the true age by the assumed drift alone.
         self.assertGreaterEqual(behind.state_view.state_age_s(), 2.0)
         self.assertLess(behind.state_view.state_age_s(), 2.001)
         self.assertEqual({"e1", "e2"}, behind.members.known_ids())
 
-    def test_the_one_ahead_is_asked_by_the_one_that_hears_of_it(self) -> None:
+    def test_a_message_with_a_newer_revision_requests_a_pull(self) -> None:
         ahead, behind = EntryFixture("e1"), EntryFixture("e2")
         ahead.learn_state(3, "state/a", make_state(4))
         self.assertTrue(behind.exchange.take(ahead.exchange.news()))
 
-    def test_nothing_new_is_not_sent(self) -> None:
+    def test_known_rows_are_not_sent_again(self) -> None:
         one, other = EntryFixture("e1"), EntryFixture("e2")
         one.learn_state(3, "state/a", make_state(4))
         other.exchange.take(one.exchange.answer(other.exchange.news()))
         answer = one.exchange.answer(other.exchange.news())
         self.assertEqual((None, None), (answer.state, answer.targets))
 
-    @parameterized.expand([("by a question", True), ("by an answer", False)])
-    def test_an_entry_that_was_held_dead_learns_it_and_lives(self, _name: str, asks: bool) -> None:
+    @parameterized.expand([("by a message that it gets", True), ("by an answer", False)])
+    def test_an_entry_held_dead_learns_of_it_and_refutes(self, _name: str, asks: bool) -> None:
         one, dead = EntryFixture("e1"), EntryFixture("e2")
         one.members.merge_records([make_record("e2")])
         for _ in range(defaults.SUSPECT_MISSES):
@@ -299,17 +300,17 @@
             one.exchange.take(dead.exchange.news())
         self.assertEqual(["e2"], [record.entry_id for record in one.members.alive_records()])
 
-    def test_news_are_carried_by_msgpack(self) -> None:
-        known = EntryFixture()
-        known.learn_state(3, "state/a", make_state(4))
-        news = known.exchange.news(Revision(0), Revision(0))
+    def test_messages_survive_msgpack(self) -> None:
+        entry = EntryFixture()
+        entry.learn_state(3, "state/a", make_state(4))
+        news = entry.exchange.news(Revision(0), Revision(0))
         self.assertEqual(
             news, msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=GossipMessage)
         )
 
 
-class RefusingFeed(Feed):
-    """The store as one entry finds it, which it may turn away."""
+class RejectingFeed(Feed):
+    """The store as one entry reaches it; it rejects calls of the entries in ``refused``."""
 
     def __init__(self, feed: MemoryFeed, refused: t.Set[int], number: int) -> None:
         self._feed = feed
@@ -326,76 +327,76 @@
 
     def _check(self) -> None:
         if self._number in self._refused:
-            raise PlatformUnavailableError("turned away")
+            raise PlatformUnavailableError("call rejected")
 
 
-class Fleet:
-    """Entries that follow one store and are told of what another one read.
+class FollowerFleet:
+    """Followers of one store, each with members and an exchange, that push what they read.
 
-    :param way_s: seconds that what one hands on is under way to the others.
-    :param bound_s: seconds within which all have to know.
+    :param way_s: seconds that a push takes.
+    :param bound_s: seconds within which a change has to be in force everywhere.
     """
 
     def __init__(self, clock: Clock, count: int, way_s: float = 0.0, bound_s: float = 2.0) -> None:
         self.feed = MemoryFeed(clock)
-        #: Numbers of entries that the store turns away.
+        #: Numbers of the entries whose calls the store rejects.
         self.refused: t.Set[int] = set()
-        #: How often one has handed on what it read.
-        self.handed_on = 0
-        #: Revisions after which rows were handed on.
-        self.handed_on_since: t.List[Revision] = []
+        #: Pushes so far, of all entries together.
+        self.push_count = 0
+        #: Revisions since which rows were pushed.
+        self.pushed_since: t.List[Revision] = []
         self._way_s = way_s
-        self.known = [EntryFixture(f"e{number}", clock) for number in range(count)]
-        self.cut: t.Set[int] = set()
+        self.entries = [EntryFixture(f"e{number}", clock) for number in range(count)]
+        self.cut_off: t.Set[int] = set()
         self.followers = [
             Follower(
                 "state/",
-                known.state_view.state_rows,
-                RefusingFeed(self.feed, self.refused, number),
-                known.members,
+                entry.state_view.state_rows,
+                RejectingFeed(self.feed, self.refused, number),
+                entry.members,
                 clock,
-                known.state_view.store_clock,
+                entry.state_view.store_clock,
                 seeded_rng(),
                 pace=pace_of(bound_s),
                 long_poll=True,
                 before_apply=lambda age: None,
-                on_changed=known.state_view.apply_state_changes,
-                push_since=functools.partial(self._hand_on, number),
+                on_changed=entry.state_view.apply_state_changes,
+                push_since=functools.partial(self._push, number),
             )
-            for number, known in enumerate(self.known)
+            for number, entry in enumerate(self.entries)
         ]
-        for known in self.known:
-            known.members.merge_records([other.members.own_record for other in self.known])
+        for entry in self.entries:
+            entry.members.merge_records([other.members.own_record for other in self.entries])
 
-    def _hand_on(self, number: int, since: Revision) -> None:
-        self.handed_on += 1
-        self.handed_on_since.append(since)
-        news = self.known[number].exchange.news(since, Revision(0))
+    def _push(self, number: int, since: Revision) -> None:
+        self.push_count += 1
+        self.pushed_since.append(since)
+        news = self.entries[number].exchange.news(since, Revision(0))
         if not self._way_s:
-            self._arrive(number, news)
+            self._deliver(number, news)
             return
-        asyncio.get_running_loop().call_later(self._way_s, self._arrive, number, news)
+        asyncio.get_running_loop().call_later(self._way_s, self._deliver, number, news)
 
-    def _arrive(self, number: int, news: GossipMessage) -> None:
-        for other, told in enumerate(self.known):
-            if other != number and not {other, number} & self.cut:
-                told.exchange.take(news)
+    def _deliver(self, number: int, news: GossipMessage) -> None:
+        for other, receiver in enumerate(self.entries):
+            if other != number and not {other, number} & self.cut_off:
+                receiver.exchange.take(news)
 
-    async def talk(self, way_s: float, pause_s: float = 0.05) -> None:
-        """Let all exchange news all the while, with messages that take ``way_s`` each way."""
+    async def exchange_continuously(self, way_s: float, pause_s: float = 0.05) -> None:
+        """Lets entries exchange messages continuously; each message takes ``way_s``."""
         rng = seeded_rng()
         while True:
-            pairs = [rng.sample(range(len(self.known)), 2) for _ in self.known]
-            questions = [self.known[asker].exchange.news() for asker, _ in pairs]
-            asked_at = self.known[0].clock.monotonic()
+            pairs = [rng.sample(range(len(self.entries)), 2) for _ in self.entries]
+            questions = [self.entries[asker].exchange.news() for asker, _ in pairs]
+            asked_at = self.entries[0].clock.monotonic()
             await asyncio.sleep(way_s)
             answers = []
             for (_, asked), question in zip(pairs, questions, strict=True):
-                self.known[asked].exchange.take(question)
-                answers.append(self.known[asked].exchange.answer(question))
+                self.entries[asked].exchange.take(question)
+                answers.append(self.entries[asked].exchange.answer(question))
             await asyncio.sleep(way_s)
             for (asker, _), answer in zip(pairs, answers, strict=True):
-                self.known[asker].exchange.take(answer, asked_at)
+                self.entries[asker].exchange.take(answer, asked_at)
             await asyncio.sleep(pause_s)
 
     async def run(self, seconds: float) -> None:
@@ -406,114 +407,121 @@
 
 
 class FollowerTest(unittest.TestCase):
-    def test_one_reads_for_all(self) -> None:
-        async def main(clock: LoopClock) -> Fleet:
-            fleet = Fleet(clock, 12)
+    def test_one_entry_reads_for_all(self) -> None:
+        async def main(clock: LoopClock) -> FollowerFleet:
+            fleet = FollowerFleet(clock, 12)
             fleet.feed.put("state/a", make_state(1))
             await fleet.run(20.0)
             return fleet
 
         fleet = run_virtual(main)
-        self.assertEqual([1] * 12, [known.state_view.version for known in fleet.known])
-        # Everybody reads at the start; then it is twice a second, and not twelve times that.
+        self.assertEqual([1] * 12, [entry.state_view.version for entry in fleet.entries])
+        # All read at the start; after that there are two reads a second in all, not by each entry.
         self.assertLess(fleet.feed.reads, 12 + 2 * 20 + 10)
 
-    def test_a_start_hands_on_no_rows_that_all_can_ask_for(self) -> None:
+    def test_a_start_does_not_push_its_first_snapshot(self) -> None:
         async def main(clock: LoopClock) -> t.List[Revision]:
-            fleet = Fleet(clock, 12)
+            fleet = FollowerFleet(clock, 12)
             fleet.feed.put("state/a", make_state(1))
             await fleet.run(3.0)
-            return fleet.handed_on_since
+            return fleet.pushed_since
 
-        handed_on_since = run_virtual(main)
-        self.assertTrue(handed_on_since)
-        self.assertEqual(1, min(handed_on_since))
+        pushed_since = run_virtual(main)
+        self.assertTrue(pushed_since)
+        self.assertEqual(1, min(pushed_since))
 
     @parameterized.expand(
         [
-            ("the reader is cut off", 0, 2.0),
-            ("somebody else is", 5, 2.0),
-            ("nobody is", None, 2.0),
-            ("the reader is cut off, and the bound is tight", 0, 1.0),
-            ("somebody else is, and the bound is tight", 5, 1.0),
-            ("the reader is cut off, and the bound is loose", 0, 8.0),
+            ("the first in rank is cut off", 0, 2.0),
+            ("another entry is cut off", 5, 2.0),
+            ("no entry is cut off", None, 2.0),
+            ("the first in rank is cut off, tight bound", 0, 1.0),
+            ("another entry is cut off, tight bound", 5, 1.0),
+            ("the first in rank is cut off, loose bound", 0, 8.0),
         ]
     )
     def test_a_change_is_in_force_everywhere_in_time(
         self, _name: str, rank: t.Optional[int], bound_s: float
     ) -> None:
         async def main(clock: LoopClock) -> t.List[int]:
-            fleet = Fleet(clock, 12, bound_s=bound_s)
+            fleet = FollowerFleet(clock, 12, bound_s=bound_s)
             fleet.feed.put("state/a", make_state(1))
             work = asyncio.create_task(fleet.run(20.0))
             await asyncio.sleep(5.03)
             if rank is not None:
-                ranks = [known.members.rank() for known in fleet.known]
-                fleet.cut = {ranks.index(rank)}
+                ranks = [entry.members.rank() for entry in fleet.entries]
+                fleet.cut_off = {ranks.index(rank)}
             fleet.feed.put("state/a", make_state(2))
             await asyncio.sleep(0.7 * min(bound_s, 2.0))
-            versions = [known.state_view.version for known in fleet.known]
+            versions = [entry.state_view.version for entry in fleet.entries]
             work.cancel()
             return versions
 
         self.assertEqual([2] * 12, run_virtual(main))
 
     @parameterized.expand([("today", 12, 5), ("grown", 89, 5)])
-    def test_the_first_in_rank_are_turned_away(
-        self, _name: str, count: int, turned_away: int
+    def test_the_store_rejects_the_first_in_rank(
+        self, _name: str, count: int, rejected: int
     ) -> None:
-        """They live and stay first in rank; somebody else has to read for all."""
+        """They are alive and stay first in rank, so others have to read for all."""
 
         async def main(clock: LoopClock) -> t.List[float]:
-            fleet = Fleet(clock, count, 0.02)
+            fleet = FollowerFleet(clock, count, 0.02)
             fleet.feed.put("state/a", make_state(1))
             work = [asyncio.create_task(fleet.run(200.0))]
-            work.append(asyncio.create_task(fleet.talk(0.02, defaults.GOSSIP_S / 2 - 0.04)))
+            work.append(
+                asyncio.create_task(fleet.exchange_continuously(0.02, defaults.GOSSIP_S / 2 - 0.04))
+            )
             await asyncio.sleep(5.0)
-            by_rank = sorted(range(count), key=lambda n: fleet.known[n].members.rank())
-            fleet.refused.update(by_rank[:turned_away])
+            by_rank = sorted(range(count), key=lambda n: fleet.entries[n].members.rank())
+            fleet.refused.update(by_rank[:rejected])
             await asyncio.sleep(3.0)
             oldest = []
             for _ in range(100):
                 await asyncio.sleep(0.1)
-                oldest.append(max(known.state_view.state_age_s() for known in fleet.known))
+                oldest.append(max(entry.state_view.state_age_s() for entry in fleet.entries))
             for task in work:
                 task.cancel()
             return oldest
 
         self.assertLess(max(run_virtual(main)), 1.5)
 
-    @parameterized.expand([("at once", 0.0, 6), ("late", 0.6, 12), ("far too late", 1.5, 12)])
-    def test_what_comes_late_makes_no_storm(self, _name: str, way_s: float, most: int) -> None:
-        """All read for themselves then; what each learns is no news that all others need."""
+    @parameterized.expand([("at once", 0.0, 6), ("late", 0.6, 12), ("very late", 1.5, 12)])
+    def test_late_pushes_cause_no_storm_of_pushes(
+        self, _name: str, way_s: float, most: int
+    ) -> None:
+        """Each entry then reads for itself; those of low rank must not push what they read."""
 
-        async def main(clock: LoopClock) -> Fleet:
-            fleet = Fleet(clock, 74, way_s)
+        async def main(clock: LoopClock) -> FollowerFleet:
+            fleet = FollowerFleet(clock, 74, way_s)
             fleet.feed.put("state/a", make_state(1))
             await fleet.run(2.0)
-            fleet.handed_on = 0
+            fleet.push_count = 0
             await fleet.run(10.0)
             return fleet
 
         fleet = run_virtual(main)
-        self.assertLess(fleet.handed_on / 10.0, most)
-        self.assertLess(max(known.state_view.state_age_s() for known in fleet.known), 1.5)
+        self.assertLess(fleet.push_count / 10.0, most)
+        self.assertLess(max(entry.state_view.state_age_s() for entry in fleet.entries), 1.5)
 
     @parameterized.expand([(0.0,), (0.15,), (0.4,)])
-    def test_knowledge_is_never_called_younger_than_the_last_read(self, way_s: float) -> None:
-        """Messages take their time; entries that tell each other all the while make nothing new."""
+    def test_rows_never_seem_younger_than_the_last_read(self, way_s: float) -> None:
+        """The age must not shrink by the delay of messages, however often entries exchange them."""
 
         async def main(clock: LoopClock) -> t.List[float]:
-            fleet = Fleet(clock, 12)
+            fleet = FollowerFleet(clock, 12)
             fleet.feed.put("state/a", make_state(1))
             await fleet.run(2.0)
             fleet.feed.down = True
             too_young = []
-            work = [asyncio.create_task(fleet.run(5.0)), asyncio.create_task(fleet.talk(way_s))]
+            work = [
+                asyncio.create_task(fleet.run(5.0)),
+                asyncio.create_task(fleet.exchange_continuously(way_s)),
+            ]
             for _ in range(50):
                 await asyncio.sleep(0.1)
                 since_read = clock.monotonic() - fleet.feed.read_at
-                ages = [known.state_view.state_age_s() for known in fleet.known]
+                ages = [entry.state_view.state_age_s() for entry in fleet.entries]
                 too_young.append(since_read - min(ages))
             for task in work:
                 task.cancel()
@@ -521,45 +529,45 @@
 
         self.assertLess(max(run_virtual(main)), 0.001)
 
-    def test_rows_of_a_slow_answer_are_as_old_as_its_question(self) -> None:
-        """The store may stamp its answer when it sends it, long after it looked."""
+    def test_rows_of_a_slow_answer_are_as_old_as_the_request(self) -> None:
+        """The store may stamp an answer when it sends it, long after it read the rows."""
 
         async def main(clock: LoopClock) -> float:
-            fleet = Fleet(clock, 1)
+            fleet = FollowerFleet(clock, 1)
             fleet.feed.put("state/a", make_state(1))
             await fleet.followers[0].read()
             fleet.feed.slow_s = defaults.READ_INTERVAL_S + 0.8
             await fleet.followers[0].read()
-            return fleet.known[0].state_view.state_age_s()
+            return fleet.entries[0].state_view.state_age_s()
 
-        # What it was asked to wait for is no delay.
+        # The time that the store was asked to wait does not count as delay.
         self.assertGreater(run_virtual(main), 0.79)
 
-    def test_lost_history_is_made_up_by_a_snapshot(self) -> None:
-        async def main(clock: LoopClock) -> Fleet:
-            fleet = Fleet(clock, 1)
+    def test_a_snapshot_replaces_compacted_history(self) -> None:
+        async def main(clock: LoopClock) -> FollowerFleet:
+            fleet = FollowerFleet(clock, 1)
             fleet.feed.put("state/a", make_state(1))
             fleet.feed.put(f"state/evacuate/{NORTE}", {})
             await fleet.run(2.0)
             fleet.feed.put(f"state/evacuate/{NORTE}", None)
             fleet.feed.put("state/a", make_state(2))
             fleet.feed.rows.pop(f"state/evacuate/{NORTE}")
-            fleet.feed.kept_from = fleet.feed.revision
+            fleet.feed.oldest_since = fleet.feed.revision
             await fleet.run(2.0)
             return fleet
 
-        known = run_virtual(main).known[0]
-        self.assertEqual(2, known.state_view.version)
-        self.assertIsNone(known.state_view.state_rows.get(f"state/evacuate/{NORTE}"))
+        entry = run_virtual(main).entries[0]
+        self.assertEqual(2, entry.state_view.version)
+        self.assertIsNone(entry.state_view.state_rows.get(f"state/evacuate/{NORTE}"))
 
-    @parameterized.expand([("a dozen", 12, 160), ("large", 195, 700)])
-    def test_an_outage_costs_a_fleet_few_calls_and_ends_everywhere(
+    @parameterized.expand([("small fleet", 12, 160), ("large", 195, 700)])
+    def test_during_an_outage_a_fleet_makes_few_calls_and_recovers(
         self, _name: str, count: int, most: int
     ) -> None:
-        """The first in rank go on asking, and tell all others once the store is back."""
+        """The first in rank retry often, and push to all others once the store is back."""
 
         async def main(clock: LoopClock) -> t.Tuple[int, t.Set[int]]:
-            fleet = Fleet(clock, count, way_s=0.02, bound_s=3.0)
+            fleet = FollowerFleet(clock, count, way_s=0.02, bound_s=3.0)
             fleet.feed.put("state/a", make_state(1))
             work = asyncio.create_task(fleet.run(30.0))
             await asyncio.sleep(5.0)
@@ -571,15 +579,15 @@
             fleet.feed.put("state/a", make_state(2))
             await asyncio.sleep(1.3)
             work.cancel()
-            return calls, {known.state_view.version for known in fleet.known}
+            return calls, {entry.state_view.version for entry in fleet.entries}
 
         calls, versions = run_virtual(main)
         self.assertEqual({2}, versions)
         self.assertLess(calls, most)
 
-    def test_an_outage_costs_few_calls_and_ends_by_itself(self) -> None:
+    def test_during_an_outage_a_single_entry_makes_few_calls_and_recovers(self) -> None:
         async def main(clock: LoopClock) -> t.Tuple[int, int]:
-            fleet = Fleet(clock, 1)
+            fleet = FollowerFleet(clock, 1)
             fleet.feed.put("state/a", make_state(1))
             await fleet.run(2.0)
             fleet.feed.down = True
@@ -589,7 +597,7 @@
             fleet.feed.down = False
             fleet.feed.put("state/a", make_state(2))
             await fleet.run(1.5)
-            return calls, fleet.known[0].state_view.version
+            return calls, fleet.entries[0].state_view.version
 
         calls, version = run_virtual(main)
         self.assertLess(calls, 30)
--- a/tests/traffic/test_members.py
+++ b/tests/traffic/test_members.py
@@ -217,12 +217,12 @@
                 (fresh.records, fresh.serving_records, fresh.checksum, fresh.rank),
                 (kept.records, kept.serving_records, kept.checksum, kept.rank),
             )
-            known = {*members._members_by_id}
-            self.assertEqual({EntryId("e1"), *known}, members.known_ids())
+            others = {*members._members_by_id}
+            self.assertEqual({EntryId("e1"), *others}, members.known_ids())
             listed = {
-                (known.record.entry_id, address)
+                (member.record.entry_id, address)
                 for address in members._ids_by_address
-                for known in members._members_at(address)
+                for member in members._members_at(address)
             }
             places = {
                 (k.record.entry_id, k.record.peer_address) for k in members._members_by_id.values()
@@ -273,7 +273,7 @@
         self.assertEqual(([], set()), (self.members.alive_records(), self.gossiped_suspects()))
 
     def test_they_are_not_gossiped_as_alive(self) -> None:
-        """A row outlives its machine; two entries that read it would keep it alive for each other."""
+        """A row outlives its machine; entries that read it must not report the machine as alive."""
         told = [record.entry_id for record in self.members.recent_records()]
         self.assertEqual(["e1"], told)
 
@@ -287,12 +287,12 @@
 
 class LookupTest(unittest.TestCase):
     def lookup(self, *records: EntryRecord, state: t.Optional[DesiredState] = None) -> Lookup:
-        known = EntryFixture()
-        known.members.update_own(ready=False)
-        known.members.merge_records(records)
+        entry = EntryFixture()
+        entry.members.update_own(ready=False)
+        entry.members.merge_records(records)
         if state is not None:
-            known.learn_state(1, "state/a", state)
-        return Lookup(make_settings(), known.members, known.state_view)
+            entry.learn_state(1, "state/a", state)
+        return Lookup(make_settings(), entry.members, entry.state_view)
 
     @parameterized.expand(
         [
@@ -321,27 +321,27 @@
     def test_an_answer_follows_the_serving_entries(
         self, _name: str, heard: t.Dict[str, t.Dict[str, t.Any]], count: int
     ) -> None:
-        known = EntryFixture()
-        known.members.update_own(ready=False)
-        known.members.merge_records([make_record("e1x")])
-        lookup = Lookup(make_settings(), known.members, known.state_view)
+        entry = EntryFixture()
+        entry.members.update_own(ready=False)
+        entry.members.merge_records([make_record("e1x")])
+        lookup = Lookup(make_settings(), entry.members, entry.state_view)
         question = LookupQuery("a.example", SIERRA, NORTE)
         self.assertEqual(1, len(lookup.addresses(question)))
-        known.members.merge_records(
+        entry.members.merge_records(
             [make_record(name, **changes) for name, changes in heard.items()]
         )
         self.assertEqual(count, len(lookup.addresses(question)))
 
     def test_an_entry_is_left_out_once_its_suspicion_times_out(self) -> None:
         """No message arrives at that time, so only the clock can end the cached answer."""
-        known = EntryFixture()
-        known.members.update_own(ready=False)
-        known.members.merge_records([make_record("e2")])
-        lookup = Lookup(make_settings(), known.members, known.state_view)
+        entry = EntryFixture()
+        entry.members.update_own(ready=False)
+        entry.members.merge_records([make_record("e2")])
+        lookup = Lookup(make_settings(), entry.members, entry.state_view)
         question = LookupQuery("a.example", SIERRA, NORTE)
-        fail_probes(known.members)
+        fail_probes(entry.members)
         self.assertEqual(1, len(lookup.addresses(question)))
-        t.cast(ManualClock, known.clock).advance(defaults.ENTRY_SUSPECT_S + 0.1)
+        t.cast(ManualClock, entry.clock).advance(defaults.ENTRY_SUSPECT_S + 0.1)
         self.assertEqual(0, len(lookup.addresses(question)))
 
     def test_callers_get_few_entries_outside_their_zone_which_differ_by_zone(self) -> None:
@@ -492,9 +492,9 @@
 
     @parameterized.expand(
         [
-            ("small, one fails", 12, 1, 3.5),
-            ("medium, a sixth", 89, 15, 5.0),
-            ("small, nearly all", 12, 10, 4.5),
+            ("today", 12, 1, 3.5),
+            ("grown", 89, 15, 5.0),
+            ("nearly all", 12, 10, 4.5),
             ("large, a sixth", 195, 32, 6.0),
             ("large, a region", 195, 65, 6.0),
             ("large, more than half", 195, 107, 6.0),
@@ -551,7 +551,7 @@
     def test_lost_messages_cause_no_message_storm(
         self, _name: str, count: int, lost: float, most_kb: float, all_live: bool
     ) -> None:
-        """Pushes of suspicions delay answers, which causes more suspicions; 74 entries overload so."""
+        """With 74 entries, pushes of suspicions delayed answers, which caused more suspicions."""
         fleet = SimulatedFleet(count)
         for _ in range(15):
             fleet.run_round()
--- a/tests/traffic/test_registry.py
+++ b/tests/traffic/test_registry.py
@@ -52,21 +52,21 @@
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
         self.table = MemoryTable(self.clock, Counters())
-        self.known = {name: EntryFixture(name, self.clock) for name in ("e1", "e2", "e3")}
+        self.entries = {name: EntryFixture(name, self.clock) for name in ("e1", "e2", "e3")}
         feed = TableFeed(self.table)
         self.registries = {
-            name: Registry(feed, self.table, JsonRowCodec(), known.members, seeded_rng())
-            for name, known in self.known.items()
+            name: Registry(feed, self.table, JsonRowCodec(), entry.members, seeded_rng())
+            for name, entry in self.entries.items()
         }
 
     async def test_of_two_entries_that_start_together_one_finds_the_other(self) -> None:
         feed = BarrierFeed(self.table)
         registries = [
-            Registry(feed, self.table, JsonRowCodec(), self.known[name].members, seeded_rng())
+            Registry(feed, self.table, JsonRowCodec(), self.entries[name].members, seeded_rng())
             for name in ("e1", "e2")
         ]
         await asyncio.gather(*[registry.register() for registry in registries])
-        ids = [set(self.known[name].members.known_ids()) for name in ("e1", "e2")]
+        ids = [set(self.entries[name].members.known_ids()) for name in ("e1", "e2")]
         self.assertIn({EntryId("e1"), EntryId("e2")}, ids)
 
     async def register(self, *names: str) -> None:
@@ -84,17 +84,17 @@
 
     def exchange_records(self, *names: str) -> None:
         """Lets these entries exchange records, so that they hold each other alive."""
-        owns = [self.known[name].members.own_record for name in names]
+        owns = [self.entries[name].members.own_record for name in names]
         # Entries known from rows alone are dead; a higher beat refutes that.
         records = [msgspec.structs.replace(own, beat=own.beat + 1) for own in owns]
         for name in names:
-            self.known[name].members.merge_records(records)
+            self.entries[name].members.merge_records(records)
 
     def forget(self, *names: str) -> None:
         """Lets these entries forget all others, which have been dead for long."""
         self.clock.advance(defaults.ENTRY_FORGET_S + 10.0)
         for name in names:
-            members = self.known[name].members
+            members = self.entries[name].members
             members.start_round()
             members.start_round()
 
@@ -104,8 +104,8 @@
 
     async def test_an_entry_that_starts_discovers_the_registered_ones(self) -> None:
         await self.register("e1", "e2")
-        self.assertEqual({"e1", "e2"}, self.known["e2"].members.known_ids())
-        self.assertEqual({"e1"}, self.known["e1"].members.known_ids())
+        self.assertEqual({"e1", "e2"}, self.entries["e2"].members.known_ids())
+        self.assertEqual({"e1"}, self.entries["e1"].members.known_ids())
         await self.registries["e1"].unregister()
         self.assertEqual({"e2"}, set(await self.rows()))
 
@@ -119,11 +119,11 @@
     async def test_the_row_of_an_entry_that_is_lost_for_good_is_deleted(self) -> None:
         await self.register("e3", "e1")
         self.forget("e1")
-        self.assertEqual({"e1"}, self.known["e1"].members.known_ids())
+        self.assertEqual({"e1"}, self.entries["e1"].members.known_ids())
         await self.reconcile("e1")
         # The entry is added as a member and probed first.
         self.assertEqual({"e1", "e3"}, set(await self.rows()))
-        self.assertEqual({"e1", "e3"}, self.known["e1"].members.known_ids())
+        self.assertEqual({"e1", "e3"}, self.entries["e1"].members.known_ids())
         self.forget("e1")
         await self.reconcile("e1")
         self.assertEqual({"e1"}, set(await self.rows()))
@@ -137,7 +137,7 @@
         await self.reconcile("e1")
         self.forget("e1")
         if heard:
-            self.known["e1"].members.merge_records([make_record("e3", beat=5)])
+            self.entries["e1"].members.merge_records([make_record("e3", beat=5)])
         else:
             await self.register("e3")
         await self.reconcile("e1")
@@ -149,7 +149,7 @@
         self.exchange_records("e1", "e2")
         for name, other in (("e1", "e2"), ("e2", "e1")):
             for _ in range(defaults.SUSPECT_MISSES):
-                self.known[name].members.record_probe_failure(make_record(other).peer_address)
+                self.entries[name].members.record_probe_failure(make_record(other).peer_address)
         for _ in range(4):
             self.forget("e1", "e2")
             await self.reconcile("e1", "e2")
@@ -157,19 +157,19 @@
             self.assertTrue(own)
         self.forget("e1", "e2")
         self.assertEqual(
-            [1, 1], [len(self.known[name].members.known_ids()) for name in ("e1", "e2")]
+            [1, 1], [len(self.entries[name].members.known_ids()) for name in ("e1", "e2")]
         )
         for _ in range(2):
             await self.reconcile("e1", "e2")
         # One side is enough: it probes the other, which learns of it by that.
-        known = [len(self.known[name].members.known_ids()) for name in ("e1", "e2")]
-        self.assertEqual(2, max(known))
+        counts = [len(self.entries[name].members.known_ids()) for name in ("e1", "e2")]
+        self.assertEqual(2, max(counts))
 
     async def test_missing_rows_of_live_entries_are_written_back(self) -> None:
         await self.register("e1", "e2")
         self.exchange_records("e1", "e2")
-        for known in self.known.values():
-            known.members.update_own(ready=True)
+        for entry in self.entries.values():
+            entry.members.update_own(ready=True)
         self.exchange_records("e1", "e2")
         for name in ("e1", "e2"):
             await self.table.transact([Write(PREFIX + name, None)])
--- a/tests/traffic/test_store_clock.py
+++ b/tests/traffic/test_store_clock.py
@@ -68,8 +68,8 @@
     def test_a_jump_of_the_store_s_clock_is_followed(self, _name: str, jump_s: float) -> None:
         self.ask(0.0, 0.0)
         shown = self.clock.monotonic() + AHEAD_S + jump_s
-        # Until the next observation, times that seem to be in the future have no finite age, and all
-        # others seem old.
+        # Until the next observation, times that seem to be in the future have no finite age, and
+        # all others seem old.
         self.assertGreater(self.store_clock.age_s(shown), 50.0)
         self.store_clock.observe(self.clock.monotonic(), shown)
         self.clock.advance(1.0)
