--- a/src/coralfall/traffic/settings.py
+++ b/src/coralfall/traffic/settings.py
@@ -66,7 +66,7 @@
         """Returns the seconds from a target's start until its row has reached this entry."""
         return self.target_beat_s + self.drain_s
 
-    def shutdown_serve_s(self) -> float:
+    def shutdown_accept_s(self) -> float:
         """Returns the seconds for which a stopping entry still accepts requests."""
         return min(defaults.LEAVE_S, self.grace_s * defaults.LEAVE_PART)
 
@@ -75,7 +75,7 @@
 
         It is so short that answers expire while a stopping entry still accepts requests.
         """
-        kept_s = self.shutdown_serve_s() / defaults.LOOKUP_KEPT
+        kept_s = self.shutdown_accept_s() / defaults.LOOKUP_KEPT
         return min(defaults.STEER_TTL_S, self.max_ttl_s, kept_s)
 
     def home_shift_per_s(self) -> float:
