--- a/src/coralfall/traffic/follower.py
+++ b/src/coralfall/traffic/follower.py
@@ -107,7 +107,7 @@
         """
         backoff_s = min(_MIN_BACKOFF_S * 2.0 ** min(self._consecutive_failures, 4), _MAX_BACKOFF_S)
         return min(
-            backoff_s * (1 + self._members.rank() / defaults.HANDING_RANKS),
+            backoff_s * (1 + self._members.rank() / defaults.BROADCAST_RANKS),
             _MAX_LOW_RANK_BACKOFF_S,
         )
 
@@ -146,7 +146,7 @@
         # A first snapshot is not pushed. It is long, and an entry that lacks it requests it once;
         # pushed by every entry that starts, it reached each of 12 or 195 entries eight times if a
         # message takes 20 ms.
-        if since and self._members.rank() < defaults.HANDING_RANKS:
+        if since and self._members.rank() < defaults.BROADCAST_RANKS:
             self._push_since(since)
 
     def _wait_s(self) -> float:
--- a/src/coralfall/traffic/lookup.py
+++ b/src/coralfall/traffic/lookup.py
@@ -92,7 +92,7 @@
     """
     in_zone = [record for record in records if record.zone == zone]
     outside = [record for record in records if record.region == region and record.zone != zone]
-    count = min(len(in_zone), defaults.LOOKUP_BESIDE - len(in_zone))
+    count = min(len(in_zone), defaults.LOOKUP_FILL_ADDRESSES - len(in_zone))
     outside = _in_zone_order(zone, outside)[: max(_MIN_OUTSIDE_ZONE, count)]
     return _in_zone_order(zone, in_zone) + outside
 
--- a/src/coralfall/traffic/members.py
+++ b/src/coralfall/traffic/members.py
@@ -63,10 +63,12 @@
         nobody dead because of the pause.
         """
         now = self._clock.monotonic()
-        pause_s = now - self._round_started_at - defaults.GOSSIP_S
+        pause_s = now - self._round_started_at - defaults.GOSSIP_INTERVAL_S
         self._round_started_at = now
-        self._is_overloaded = pause_s > defaults.GOSSIP_S * (defaults.BUSY_ROUNDS - 1)
-        if pause_s > defaults.ENTRY_SUSPECT_S / 2:
+        self._is_overloaded = pause_s > defaults.GOSSIP_INTERVAL_S * (
+            defaults.BUSY_ROUND_FACTOR - 1
+        )
+        if pause_s > defaults.SUSPICION_TIMEOUT_S / 2:
             log.warning("process.paused", seconds=round(pause_s, 3))
             self._extend_suspicions(now, pause_s)
             self.on_pause()
@@ -124,14 +126,15 @@
         now = self._clock.monotonic()
         if (
             self._is_overloaded
-            or now - self._round_started_at > defaults.GOSSIP_S * defaults.BUSY_ROUNDS
+            or now - self._round_started_at
+            > defaults.GOSSIP_INTERVAL_S * defaults.BUSY_ROUND_FACTOR
         ):
             return
         for member in self._members_at(address):
             if member.suspected_at is not None:
                 continue
             member.failed_probes += 1
-            if member.failed_probes >= defaults.SUSPECT_MISSES:
+            if member.failed_probes >= defaults.SUSPECT_MISSED_PROBES:
                 self._suspect(member, 0.0, "own")
                 self.on_update(False)
 
@@ -153,12 +156,12 @@
 
     def recent_records(self) -> "t.Tuple[EntryRecord, ...]":
         """Returns this entry's record and the newest of those updated recently."""
-        since = self._clock.monotonic() - defaults.GOSSIP_NEWS_S
+        since = self._clock.monotonic() - defaults.GOSSIP_UPDATE_TTL_S
         found = [
             m for m in self._members_by_id.values() if m.updated_at > since and m.known_by_gossip
         ]
         found.sort(key=lambda member: member.updated_at, reverse=True)
-        newest = found[: defaults.GOSSIP_RECORDS]
+        newest = found[: defaults.MAX_GOSSIP_RECORDS]
         return (self.own_record, *[member.record for member in newest])
 
     def all_records(self) -> "t.Tuple[EntryRecord, ...]":
@@ -168,10 +171,10 @@
     def recent_suspicions(self) -> "t.Tuple[Suspicion, ...]":
         """Returns suspicions that began recently; a random sample if there are too many."""
         now = self._clock.monotonic()
-        since = now - defaults.GOSSIP_NEWS_S
+        since = now - defaults.GOSSIP_UPDATE_TTL_S
         found = [m for m in self._gossiped_suspects() if m.suspected_at and m.suspected_at > since]
-        if len(found) > defaults.GOSSIP_SUSPICIONS:
-            found = self._rng.sample(found, defaults.GOSSIP_SUSPICIONS)
+        if len(found) > defaults.MAX_GOSSIP_SUSPICIONS:
+            found = self._rng.sample(found, defaults.MAX_GOSSIP_SUSPICIONS)
         return tuple([member.suspicion(now) for member in found])
 
     def suspicions_of(self, address: str) -> "t.Tuple[Suspicion, ...]":
@@ -274,14 +277,16 @@
         trusted = self._neighbours([member for member in live if member.suspected_at is None])
         # More probes while some are suspected: others may have failed together with them.
         suspected = sum(member.suspected_at is not None for member in live)
-        count += min(suspected, defaults.MAX_EXTRA_ASKED)
+        count += min(suspected, defaults.MAX_EXTRA_PROBES)
         chosen = self._rng.sample(trusted, min(count, len(trusted)))
         retried = [m.record for m in live if m.failed_probes and m.suspected_at is None]
-        chosen += [record for record in retried if record not in chosen][: defaults.MAX_EXTRA_ASKED]
+        chosen += [record for record in retried if record not in chosen][
+            : defaults.MAX_EXTRA_PROBES
+        ]
         suspects = [member.record for member in live if member.suspected_at is not None]
         self._rng.shuffle(suspects)
-        for record in suspects[: defaults.MAX_SUSPECTS_ASKED]:
-            if self._rng.random() < defaults.SUSPECT_ASKERS / len(live):
+        for record in suspects[: defaults.MAX_SUSPECT_PROBES]:
+            if self._rng.random() < defaults.SUSPECT_PROBERS / len(live):
                 chosen.append(record)
         dead = [member.record for member in self._members_by_id.values() if not member.was_alive]
         if dead:
@@ -374,8 +379,8 @@
 
     def _suspicion_timeout_s(self) -> float:
         """Returns the seconds that a suspect has to refute; longer in a larger fleet."""
-        fourfolds = math.log(max(1.0, self.fleet_size() / defaults.SUSPECT_ENTRIES), 4)
-        return defaults.ENTRY_SUSPECT_S * (1 + defaults.SUSPECT_GROWTH * fourfolds)
+        fourfolds = math.log(max(1.0, self.fleet_size() / defaults.SUSPICION_ENTRIES), 4)
+        return defaults.SUSPICION_TIMEOUT_S * (1 + defaults.SUSPICION_GROWTH * fourfolds)
 
     def _log_transitions(self, members: "t.Iterable[Member]", now: float) -> None:
         """Logs which of these entries became alive or dead since the last call."""
@@ -404,7 +409,7 @@
     def _forget_dead(self, now: float) -> None:
         for entry_id, member in list(self._members_by_id.items()):
             dead = not self._is_alive(member, now)
-            if dead and now - member.last_heard_at > defaults.ENTRY_FORGET_S:
+            if dead and now - member.last_heard_at > defaults.DEAD_ENTRY_RETENTION_S:
                 del self._members_by_id[entry_id]
                 self._remove_address(member)
                 self._cached_ids = self._cached_view = None
--- a/src/coralfall/traffic/settings.py
+++ b/src/coralfall/traffic/settings.py
@@ -68,19 +68,19 @@
 
     def shutdown_accept_s(self) -> float:
         """Returns the seconds for which a stopping entry still accepts requests."""
-        return min(defaults.LEAVE_S, self.grace_s * defaults.LEAVE_PART)
+        return min(defaults.SHUTDOWN_ACCEPT_S, self.grace_s * defaults.SHUTDOWN_ACCEPT_FRACTION)
 
     def lookup_ttl_s(self) -> float:
         """Returns the seconds for which callers may cache an answer to a look-up.
 
         It is so short that answers expire while a stopping entry still accepts requests.
         """
-        kept_s = self.shutdown_accept_s() / defaults.LOOKUP_KEPT
-        return min(defaults.STEER_TTL_S, self.max_ttl_s, kept_s)
+        kept_s = self.shutdown_accept_s() / defaults.LOOKUP_TTL_OVERRUN_FACTOR
+        return min(defaults.STEER_LOOKUP_TTL_S, self.max_ttl_s, kept_s)
 
     def home_shift_per_s(self) -> float:
         """Returns the share of a region's objects that may change their home region in a second."""
-        return self.max_shift * defaults.SHIFT_USED / defaults.SHIFT_WINDOW_S
+        return self.max_shift * defaults.SHIFT_BUDGET_FRACTION / defaults.SHIFT_WINDOW_S
 
 
 class SteerSettings(Settings, frozen=True, kw_only=True):
@@ -138,11 +138,11 @@
         """
         if not self.first_start or not self.seeds or self.peer_address in self.seeds:
             return 0.0
-        return defaults.FIRST_START_S
+        return defaults.FIRST_START_SEED_WAIT_S
 
     def max_caller_connections(self) -> int:
         """Returns the most connections of callers; it leaves some files for those to targets."""
-        free = (self.max_files - defaults.RESERVED_FILES) * defaults.CALLER_FILES
+        free = (self.max_files - defaults.RESERVED_FILES) * defaults.CALLER_FILES_FRACTION
         limit = int(min(defaults.MAX_CALLER_CONNECTIONS, free))
         return max(defaults.MIN_CALLER_CONNECTIONS, limit)
 
--- a/src/coralfall/traffic/state_view.py
+++ b/src/coralfall/traffic/state_view.py
@@ -101,9 +101,9 @@
 
         :param age_s: age of the target rows.
         """
-        if age_s < defaults.OUTAGE_S or not self.target_rows.is_loaded:
+        if age_s < defaults.STORE_OUTAGE_S or not self.target_rows.is_loaded:
             return
-        self._retain_until = self._clock.monotonic() + defaults.RETURN_GRACE_S
+        self._retain_until = self._clock.monotonic() + defaults.MISSING_TARGET_GRACE_S
 
     def apply_state_changes(self, keys: t.Set[str]) -> None:
         """Puts changed state rows in force.
--- a/tests/traffic/test_members.py
+++ b/tests/traffic/test_members.py
@@ -31,7 +31,9 @@
 )
 
 
-def fail_probes(members: Members, name: str = "e2", times: int = defaults.SUSPECT_MISSES) -> None:
+def fail_probes(
+    members: Members, name: str = "e2", times: int = defaults.SUSPECT_MISSED_PROBES
+) -> None:
     """Records as many failed probes of an entry as it takes to suspect it."""
     for _ in range(times):
         members.record_probe_failure(make_record(name).peer_address)
@@ -61,11 +63,11 @@
         self.members.merge_records([make_record("e2")])
         self.clock.advance(60.0)
         self.members.start_round()
-        self.clock.advance(defaults.GOSSIP_S)
+        self.clock.advance(defaults.GOSSIP_INTERVAL_S)
         self.members.start_round()
         self.assertEqual(["e2"], self.alive())
         suspect(self.members)
-        self.clock.advance(defaults.ENTRY_SUSPECT_S - 0.1)
+        self.clock.advance(defaults.SUSPICION_TIMEOUT_S - 0.1)
         # A record of the same version is no refutation, and a repeated suspicion extends nothing.
         self.members.merge_records([make_record("e2")])
         suspect(self.members)
@@ -87,14 +89,14 @@
 
     def test_an_overloaded_entry_suspects_nobody(self) -> None:
         self.members.merge_records([make_record("e2")])
-        self.clock.advance(defaults.GOSSIP_S * defaults.BUSY_ROUNDS + 0.1)
+        self.clock.advance(defaults.GOSSIP_INTERVAL_S * defaults.BUSY_ROUND_FACTOR + 0.1)
         fail_probes(self.members)
         self.assertEqual((), self.members.recent_suspicions())
 
     def test_a_suspicion_of_an_older_version_is_ignored(self) -> None:
         self.members.merge_records([make_record("e2", beat=5)])
         self.members.merge_suspicions([suspicion("e2", 4)])
-        self.clock.advance(defaults.ENTRY_SUSPECT_S)
+        self.clock.advance(defaults.SUSPICION_TIMEOUT_S)
         self.assertEqual(["e2"], self.alive())
 
     @parameterized.expand(
@@ -113,14 +115,14 @@
         self.assertEqual(3, len(self.members.recent_records()))
         self.assertEqual((suspicion("e3", 1),), self.members.recent_suspicions())
         self.assertEqual(1, self.members.suspected_count())
-        self.clock.advance(defaults.GOSSIP_NEWS_S)
+        self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S)
         self.assertEqual(["e1"], [record.entry_id for record in self.members.recent_records()])
         self.assertEqual((), self.members.recent_suspicions())
         self.assertEqual(0, self.members.suspected_count())
         told = [record.entry_id for record in self.members.all_records()]
         self.assertEqual(["e1", "e2"], told)
         (told_of,) = self.members.all_suspicions()
-        self.assertEqual(("e3", defaults.GOSSIP_NEWS_S), (told_of.entry_id, told_of.age_s))
+        self.assertEqual(("e3", defaults.GOSSIP_UPDATE_TTL_S), (told_of.entry_id, told_of.age_s))
 
     def test_the_checksum_shows_whether_two_entries_agree(self) -> None:
         other = Members(make_record("e2"), self.clock, seeded_rng())
@@ -158,7 +160,7 @@
         self.clock.advance(20.0)
         self.members.start_round()
         self.assertEqual(["e2"], self.alive())
-        self.clock.advance(defaults.ENTRY_SUSPECT_S)
+        self.clock.advance(defaults.SUSPICION_TIMEOUT_S)
         self.assertEqual([], self.alive())
 
     def test_one_entry_has_the_first_rank(self) -> None:
@@ -341,7 +343,7 @@
         question = LookupQuery("a.example", SIERRA, NORTE)
         fail_probes(entry.members)
         self.assertEqual(1, len(lookup.addresses(question)))
-        t.cast(ManualClock, entry.clock).advance(defaults.ENTRY_SUSPECT_S + 0.1)
+        t.cast(ManualClock, entry.clock).advance(defaults.SUSPICION_TIMEOUT_S + 0.1)
         self.assertEqual(0, len(lookup.addresses(question)))
 
     def test_callers_get_few_entries_outside_their_zone_which_differ_by_zone(self) -> None:
@@ -438,7 +440,7 @@
         return self._rng.random() >= self.loss
 
     def run_round(self) -> None:
-        self.clock.advance(defaults.GOSSIP_S)
+        self.clock.advance(defaults.GOSSIP_INTERVAL_S)
         for name, entry in self.entries.items():
             if name in self.failed:
                 continue
@@ -513,7 +515,7 @@
         while fleet.views_of_alive() != {frozenset(fleet.entries) - fleet.failed}:
             fleet.run_round()
             rounds += 1
-            self.assertLess(rounds * defaults.GOSSIP_S, bound_s)
+            self.assertLess(rounds * defaults.GOSSIP_INTERVAL_S, bound_s)
 
     def test_entries_that_can_t_reach_each_other_stay_alive_through_others(self) -> None:
         fleet = SimulatedFleet(12)
@@ -535,7 +537,7 @@
         while fleet.views_of_alive() != {frozenset(fleet.entries) - fleet.failed}:
             fleet.run_round()
             rounds += 1
-            self.assertLess(rounds * defaults.GOSSIP_S, 6.0)
+            self.assertLess(rounds * defaults.GOSSIP_INTERVAL_S, 6.0)
 
     @parameterized.expand(
         [
@@ -559,7 +561,7 @@
         fleet.sent_bytes.clear()
         for _ in range(25):
             fleet.run_round()
-        kb_s = sum(fleet.sent_bytes) / count / (25 * defaults.GOSSIP_S) / 1000
+        kb_s = sum(fleet.sent_bytes) / count / (25 * defaults.GOSSIP_INTERVAL_S) / 1000
         self.assertLess(kb_s, most_kb)
         if all_live:
             self.assertEqual({frozenset(fleet.entries)}, fleet.views_of_alive())
@@ -572,5 +574,5 @@
         fleet.sent_bytes.clear()
         for _ in range(5):
             fleet.run_round()
-        per_entry_s = sum(fleet.sent_bytes) / count / (5 * defaults.GOSSIP_S)
+        per_entry_s = sum(fleet.sent_bytes) / count / (5 * defaults.GOSSIP_INTERVAL_S)
         self.assertLess(per_entry_s, 2000)
