--- a/src/coralfall/balancing/__init__.py
+++ b/src/coralfall/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Slots of targets: who may use how many, lending, shares of regions, health."""
+"""Assignment of target slots to entries: ownership, loans, shares of regions and target health."""
--- a/src/coralfall/balancing/capacity.py
+++ b/src/coralfall/balancing/capacity.py
@@ -1,7 +1,8 @@
-"""Capacity: how many slots of each target may be used, by what both partners state.
+"""Computes how many slots of each target may be used, from the bundles of all partners.
 
-Every entry works this out by itself from the same bundles, so the order in which slots are cut
-off must depend on nothing but the bundles: see :func:`reserved_slots`.
+Every entry computes this on its own from the same bundles, so the order in which slots are cut
+to a limit depends on nothing but the bundles: see :func:`reserved_slots`, which shares a limit
+by max-min fairness with ties broken by a hash of the target's id.
 """
 
 import hashlib
@@ -13,14 +14,15 @@
 from ..ids import PartnerId, RegionId, TargetId, TargetState
 from .ramp import ramped_slots
 
-#: States of a target from the strictest down.
+#: Target states, strictest first.
 _STRICTNESS = (TargetState.LEAVING, TargetState.JOINING, TargetState.ACTIVE)
 
 
 class Pool(msgspec.Struct, frozen=True):
-    """Slots of a region that several targets share.
+    """A limit on slots in a region that several targets share.
 
-    :param partner: whose targets there share a grant; ``None`` for the region as a whole.
+    :param partner: partner whose targets share a grant in the region; ``None`` for the limit of
+        the region itself.
     """
 
     region: RegionId
@@ -28,7 +30,7 @@
 
 
 class PlacedTarget(msgspec.Struct, frozen=True):
-    """A target with whose it is, and whether another partner's region only bears it."""
+    """A target with its partner, and whether it uses a grant in another partner's region."""
 
     target_id: TargetId
     partner: PartnerId
@@ -42,12 +44,12 @@
     accepted_at: t.Mapping[PartnerId, float],
     reserved: t.Optional[t.Mapping[TargetId, int]] = None,
 ) -> t.Dict[TargetId, int]:
-    """Slots of each target that all entries together may use now.
+    """Returns the slots of each target that all entries together may use now.
 
-    :param bundles: the bundle of each partner.
+    :param bundles: bundle of each partner.
     :param now: platform's wall time in seconds.
     :param accepted_at: platform's wall time at which each partner's bundle was accepted.
-    :param reserved: result of :func:`reserved_slots`, if it is known already.
+    :param reserved: result of :func:`reserved_slots`, if the caller has it already.
     """
     usable = dict(reserved_slots(bundles) if reserved is None else reserved)
     for partner, bundle in bundles.items():
@@ -62,28 +64,28 @@
 
 
 def reserved_slots(bundles: t.Mapping[PartnerId, Bundle]) -> t.Dict[TargetId, int]:
-    """Slots of each target without regard to the ramp of those that are joining.
+    """Returns the slots of each target, ignoring the ramp of joining targets.
 
-    A region's limit is cut after whole targets, not after what their ramps allow at the
-    moment: otherwise each step of one target's ramp would take slots from others, and two
-    entries whose clocks differ would together use more than there is.
+    Limits are applied to full targets rather than to what their ramps allow at the moment.
+    Otherwise each step of one target's ramp would take slots from other targets, and two entries
+    whose clocks differ would together use more than the limit.
 
-    What a limit leaves is dealt out one slot a round to each target that has some left, in
-    the order of the targets' hashes: first among the targets that share a grant, then among
-    all of the region.
+    A limit that is too small is dealt out in rounds of one slot per target, skipping targets that
+    have all they ask for. The last, partial round goes in the order of the targets' hashes. Limits
+    of grants are applied first, then those of regions.
     """
-    slots_by_id = {place.target_id: _asked(place) for place in placed_targets(bundles)}
+    slots_by_id = {place.target_id: _requested_slots(place) for place in placed_targets(bundles)}
     for pool, members in pools(bundles).items():
-        asked = {target_id: slots_by_id[target_id] for target_id in members}
-        slots_by_id.update(_deal(pool_limit(bundles, pool), asked))
+        requested = {target_id: slots_by_id[target_id] for target_id in members}
+        slots_by_id.update(_distribute(pool_limit(bundles, pool), requested))
     return slots_by_id
 
 
 def placed_targets(bundles: t.Mapping[PartnerId, Bundle]) -> t.List[PlacedTarget]:
-    """Every target once, in order of its id.
+    """Returns every target once, ordered by id.
 
-    Ids of targets are the partners' own choice.  If two name one alike, the target in its
-    partner's own region stays, so that nobody pushes out another's by its name.
+    Partners choose the ids of their targets. If two partners use the same id, the target in its
+    partner's own region is kept, so that no partner can displace another's target by its name.
     """
     place_by_id: t.Dict[TargetId, PlacedTarget] = {}
     for partner, bundle in sorted(bundles.items()):
@@ -97,7 +99,7 @@
 
 
 def pools(bundles: t.Mapping[PartnerId, Bundle]) -> t.Dict[Pool, t.Set[TargetId]]:
-    """Targets by the limits that they share, those of grants before those of regions."""
+    """Returns the targets of each shared limit, grants before regions."""
     by_grant: t.Dict[Pool, t.Set[TargetId]] = {}
     by_region: t.Dict[Pool, t.Set[TargetId]] = {}
     for place in placed_targets(bundles):
@@ -109,9 +111,9 @@
 
 
 def pool_limit(bundles: t.Mapping[PartnerId, Bundle], pool: Pool) -> int:
-    """Most requests in flight that a pool bears; 0 if nobody owns the region or grants it.
+    """Returns the most requests in flight in a pool; 0 if nobody owns the region or grants it.
 
-    If two partners claim one region, the strictest of what they state counts.
+    If two partners claim the same region, the lower of their limits counts.
     """
     limits = []
     for bundle in bundles.values():
@@ -127,64 +129,65 @@
 
 
 def stricter_bundle(accepted: Bundle, staged: Bundle) -> Bundle:
-    """A bundle that allows only what both allow; for while it is unknown which is in force.
+    """Returns a bundle that allows only what both bundles allow.
 
-    How many slots each target gets is not to be worked out from the result, since what one
-    target loses another would gain: see :class:`coralfall.balancing.limits.CapacityLimits`.
+    It applies while it is unknown which of the two is in force. Slots of targets must not be
+    computed from it, since a slot that one target loses would go to another: see
+    :class:`coralfall.balancing.limits.CapacityLimits`.
 
-    :param accepted: gives weights, policies, sites and blocks.
-    :param staged: of the same partner.
+    :param accepted: also provides weights, policies, sites and blocks.
+    :param staged: bundle of the same partner.
     """
-    services = _meet(accepted.services, staged.services, _stricter_service)
-    targets = _meet(accepted.targets, staged.targets, _stricter_target)
+    services = _intersect(accepted.services, staged.services, _stricter_service)
+    targets = _intersect(accepted.targets, staged.targets, _stricter_target)
     for target_id in [name for name, target in targets.items() if target.service not in services]:
         del targets[target_id]
     return msgspec.structs.replace(
         accepted,
-        regions=_meet(accepted.regions, staged.regions, _stricter_region),
+        regions=_intersect(accepted.regions, staged.regions, _stricter_region),
         services=services,
         targets=targets,
-        grants=_meet(accepted.grants, staged.grants, _stricter_grants),
+        grants=_intersect(accepted.grants, staged.grants, _stricter_grants),
     )
 
 
 def idle_connections(target: Target, members: int) -> int:
-    """Idle connections to a target that each entry may keep open beside those in use.
+    """Returns how many idle connections to a target each entry may keep, besides those in use.
 
-    Connections in use are bounded by the target's slots, whoever holds those; what is left
-    is shared evenly, so that all entries together never open more than the bundle states.
-    An entry whose slots rest because it has just joined keeps none.
+    Connections in use are bounded by the target's slots, whichever entries hold them. The rest is
+    shared evenly, so that all entries together never open more than the bundle states. An entry
+    that has just joined and may not use its slots yet keeps no idle connections.
     """
     return max(0, target.connections - target.slots) // max(1, members)
 
 
-def _asked(place: PlacedTarget) -> int:
+def _requested_slots(place: PlacedTarget) -> int:
     if place.target.state is TargetState.LEAVING:
         return 0
     return min(place.target.slots, place.target.connections)
 
 
-def _deal(limit: int, asked: t.Mapping[TargetId, int]) -> t.Dict[TargetId, int]:
-    if sum(asked.values()) <= limit:
-        return dict(asked)
-    rounds = _full_rounds(limit, asked)
-    dealt = {target_id: min(slots, rounds) for target_id, slots in asked.items()}
-    left = limit - sum(dealt.values())
-    for target_id in sorted(asked, key=_hash):
+def _distribute(limit: int, requested: t.Mapping[TargetId, int]) -> t.Dict[TargetId, int]:
+    if sum(requested.values()) <= limit:
+        return dict(requested)
+    rounds = _count_full_rounds(limit, requested)
+    granted_slots = {target_id: min(slots, rounds) for target_id, slots in requested.items()}
+    left = limit - sum(granted_slots.values())
+    for target_id in sorted(requested, key=_hash):
         if not left:
             break
-        if asked[target_id] <= rounds:
+        if requested[target_id] <= rounds:
             continue
-        dealt[target_id] += 1
+        granted_slots[target_id] += 1
         left -= 1
-    return dealt
+    return granted_slots
 
 
-def _full_rounds(limit: int, asked: t.Mapping[TargetId, int]) -> int:
-    """How many rounds of one slot a target the limit carries."""
+def _count_full_rounds(limit: int, requested: t.Mapping[TargetId, int]) -> int:
+    """Returns the number of full rounds of one slot per target within the limit."""
     remaining = limit
-    open_targets = len(asked)
-    for slots in sorted(asked.values()):
+    open_targets = len(requested)
+    for slots in sorted(requested.values()):
         if slots * open_targets > remaining:
             return remaining // open_targets
         remaining -= slots
@@ -200,20 +203,20 @@
 _ValueT = t.TypeVar("_ValueT")
 
 
-def _meet(
+def _intersect(
     first: t.Mapping[_KeyT, _ValueT],
     second: t.Mapping[_KeyT, _ValueT],
-    meet: t.Callable[[_ValueT, _ValueT], t.Optional[_ValueT]],
+    intersect_values: t.Callable[[_ValueT, _ValueT], t.Optional[_ValueT]],
 ) -> t.Dict[_KeyT, _ValueT]:
-    met = {}
+    common = {}
     for key, value in first.items():
         other = second.get(key)
         if other is None:
             continue
-        both = meet(value, other)
+        both = intersect_values(value, other)
         if both is not None:
-            met[key] = both
-    return met
+            common[key] = both
+    return common
 
 
 def _stricter_region(first: Region, second: Region) -> Region:
@@ -255,7 +258,7 @@
 def _stricter_grants(
     first: t.Dict[PartnerId, Grant], second: t.Dict[PartnerId, Grant]
 ) -> t.Dict[PartnerId, Grant]:
-    return _meet(first, second, _stricter_grant)
+    return _intersect(first, second, _stricter_grant)
 
 
 def _stricter_grant(first: Grant, second: Grant) -> Grant:
--- a/src/coralfall/balancing/drain.py
+++ b/src/coralfall/balancing/drain.py
@@ -1,4 +1,4 @@
-"""Drains: from the moment a target is marked as leaving until it is idle."""
+"""Drains of targets: from the time a target is marked as leaving until it has no requests."""
 
 import typing as t
 
@@ -6,26 +6,26 @@
 
 from ..ids import TargetId
 
-#: Drains that are remembered after their target has gone from the bundle.
+#: Drains kept after their target was removed from the bundle.
 KEPT_DRAINS = 100
 
 
 class DrainReport(msgspec.Struct, frozen=True, kw_only=True):
-    """How one drain of a target went, as one entry saw it."""
+    """Progress of one drain of a target, as seen by this entry."""
 
     target_id: TargetId
-    #: Monotonic time at which the entry saw the target marked.
+    #: Monotonic time at which this entry first saw the target marked as leaving.
     marked_at: float
-    #: Seconds until the entry had nothing in flight there; ``None`` while it has.
+    #: Seconds until this entry had no requests in flight there; ``None`` while it has some.
     seconds: t.Optional[float] = None
     #: Requests still in flight.
     in_flight: int = 0
-    #: Whether the target went from the bundle before it was idle.
+    #: Whether the target was removed from the bundle before this entry's requests ended.
     gone: bool = False
 
 
 class _Drain:
-    """One target's drain under way."""
+    """State of the drain of one target."""
 
     __slots__ = ("gone", "idle_at", "marked_at")
 
@@ -36,13 +36,13 @@
 
 
 class DrainTracker:
-    """Counts what this entry has in flight on each target and times the drains.
+    """Counts this entry's requests in flight on each target, and measures how long drains take.
 
-    A target gets no new work from the entry from the call of :meth:`mark` on, whatever was
-    queued, lent or meant as a retry before; across entries that is the time in which an
-    accepted bundle is in force everywhere.
+    A target gets no new request from this entry once :meth:`mark` has been called, even if the
+    request was queued, planned as a retry or meant for a borrowed slot before. Across entries this
+    takes as long as an accepted bundle needs to be in force everywhere.
 
-    :param keep: how many drains of targets that have gone from the bundle to remember.
+    :param keep: number of drains to keep whose target was removed from the bundle.
     """
 
     def __init__(self, keep: int = KEPT_DRAINS) -> None:
@@ -53,7 +53,7 @@
     def mark(
         self, leaving: t.Iterable[TargetId], present: t.Container[TargetId], now: float
     ) -> None:
-        """Take in the targets of a bundle.
+        """Starts and ends drains according to the targets of a bundle.
 
         :param leaving: all targets that are marked as leaving.
         :param present: all targets that the bundle names.
@@ -75,9 +75,9 @@
                 continue
             drain = self._drain_by_id[target_id]
             drain.gone = drain.gone or drain.idle_at is None
-        self._forget(marked)
+        self._remove_old(marked)
 
-    def _forget(self, marked: t.Container[TargetId]) -> None:
+    def _remove_old(self, marked: t.Container[TargetId]) -> None:
         old = []
         for target_id in self._drain_by_id:
             if target_id not in marked and not self.in_flight(target_id):
@@ -86,15 +86,15 @@
             del self._drain_by_id[target_id]
 
     def allows(self, target_id: TargetId) -> bool:
-        """Whether the target may get new work; the last check before each dispatch."""
+        """Returns whether the target may get new requests; checked last before each dispatch."""
         return target_id not in self._drain_by_id
 
     def start(self, target_id: TargetId) -> None:
-        """Count a request as in flight."""
+        """Counts a request as in flight."""
         self._in_flight_by_id[target_id] = self.in_flight(target_id) + 1
 
     def finish(self, target_id: TargetId, now: float) -> None:
-        """Count a request as over."""
+        """Counts a request as finished."""
         left = self.in_flight(target_id) - 1
         if left > 0:
             self._in_flight_by_id[target_id] = left
@@ -105,11 +105,14 @@
             drain.idle_at = now
 
     def in_flight(self, target_id: TargetId) -> int:
-        """Requests of this entry on the target."""
+        """Returns the number of this entry's requests in flight on the target."""
         return self._in_flight_by_id.get(target_id, 0)
 
     def reports(self) -> t.Dict[TargetId, DrainReport]:
-        """All drains known, by target; a drain is forgotten when its target is used again."""
+        """Returns all known drains by target.
+
+        A drain is removed when its target is used again.
+        """
         reports = {}
         for target_id, drain in self._drain_by_id.items():
             seconds = None if drain.idle_at is None else drain.idle_at - drain.marked_at
--- a/src/coralfall/balancing/fleet_steering.py
+++ b/src/coralfall/balancing/fleet_steering.py
@@ -1,6 +1,7 @@
-"""Steering by what the whole fleet knows: a slot for each request, and a queue for those without.
+"""Steering of an entry in a fleet: reserves a slot for each request, or queues it.
 
-What the fleet knows (bundles, roster, slots, shares and health together) is in :mod:`.served`.
+The services, with their bundles, limits, shares and health, are kept in
+:mod:`.served_services`.
 """
 
 import asyncio
@@ -22,33 +23,33 @@
     from ..cluster.roster import Roster
     from ..process.clock import Clock, PlatformClock
 
-#: Requests of one service that may wait for a slot at a time, for each slot held.
+#: Length limit of a service's queue per slot in use, and the lowest limit.
 _QUEUE_PER_SLOT = 2
 _MIN_QUEUE = 4
-#: Part of the time until its deadline that a request may wait for a slot.
-_MAX_QUEUE_PART = 0.25
+#: Fraction of the time until its deadline that a request may wait for a slot.
+_MAX_QUEUE_FRACTION = 0.25
 
-#: Results of attempts that the target may be running for a moment longer.
-_MAY_STILL_RUN = frozenset((AttemptResult.CANCELLED, AttemptResult.FAILED))
+#: Results after which the target may still be running the request for a moment.
+_MAY_STILL_BE_RUNNING = frozenset((AttemptResult.CANCELLED, AttemptResult.FAILED))
 
-#: Asks peers for slots of a service: how many, and in which regions they are of use.
+#: Asks peers to lend slots of a service; arguments: service, number of slots, usable regions.
 StartLoanRequest = t.Callable[[ServiceId, int, t.Sequence[RegionId]], None]
 
 
 class FleetReservation(Reservation, frozen=True, kw_only=True, eq=False):
-    """A reservation with the slot it holds."""
+    """A reservation with the slot that it holds."""
 
     slot: Slot
 
 
 class FleetSteering(Steering):
-    """The steering of an entry.
+    """Steering for an entry of a fleet.
 
-    :param rollouts: the partners' lines, by partner.
-    :param roster: the roster.
-    :param slots: the slots that this entry may use.
-    :param clock: the VM's clocks.
-    :param platform_clock: the platform's time, in which shifts and ramps are reckoned.
+    :param rollouts: rollout of bundles of each partner.
+    :param roster: members of the fleet.
+    :param slots: slots that this entry owns or has borrowed.
+    :param clock: clocks of the VM.
+    :param platform_clock: the platform's time, by which shifts and ramps progress.
     :param start_loan_request: called when a service has no free slot left.
     """
 
@@ -66,7 +67,7 @@
         self._slots = slots
         self._clock = clock
         self._ask_loan = start_loan_request
-        #: The services that are served, as of the last refresh.
+        #: Services in force, as of the last refresh.
         self.served = ServedServices(rollouts, roster, slots, clock, platform_clock)
 
     async def reserve(
@@ -84,7 +85,7 @@
             raise RefusedError("the service is not in force here", defaults.RETRY_AFTER_S)
         if not tried:
             service_state.router.count_request()
-            # The offer may be what a waiting request lacked.
+            # The credit of this request may be what a waiting request lacked.
             service_state.wait_queue.wake_first()
         try:
             return await self._reserve(service_state, service, rules, tried, deadline)
@@ -119,8 +120,8 @@
             now = self._clock.monotonic()
             health = service_state.router.health
             health.record_attempt(reservation.target_id, result, seconds, load, now)
-        if result in _MAY_STILL_RUN:
-            # The target learns of a closed connection or a passed deadline after this entry.
+        if result in _MAY_STILL_BE_RUNNING:
+            # The target notices a closed connection or a passed deadline later than this entry.
             loop = asyncio.get_running_loop()
             loop.call_later(defaults.SLOT_CANCEL_COOLDOWN_S, self._free, reservation)
             return
@@ -148,19 +149,19 @@
         return BundleVersion(0) if rollout is None else rollout.in_force_version()
 
     def refresh(self) -> None:
-        """Take in bundles, roster and time as they are now; see :meth:`ServedServices.refresh`."""
+        """Applies the current bundles, roster and time; see :meth:`ServedServices.refresh`."""
         self.served.refresh()
 
     def wake_waiters(self, service: ServiceId) -> None:
-        """Let requests that wait for a slot of ``service`` look.
+        """Wakes requests that wait for a slot of ``service``.
 
-        To be called when slots were borrowed or given back, and also when a request for a loan
-        brought none, so that another owner is asked.
+        To be called when slots were borrowed or returned, and also when a loan request brought
+        none, so that another owner is asked.
         """
         self.served.wake(service)
 
     def wake_all_waiters(self) -> None:
-        """Let all waiting requests look again, after slots may have become usable."""
+        """Wakes the waiting requests of all services, since slots may have become usable."""
         self.served.wake()
 
     async def _reserve(
@@ -174,45 +175,45 @@
         self._refresh_router(service_state, service, rules)
         if not service_state.wait_queue:
             try:
-                return self._take(service_state, service, tried)
+                return self._try_reserve(service_state, service, tried)
             except RefusedError:
                 if not service_state.router.shift_limiter.allowed_regions(bool(tried)):
                     raise
         if self._queue_is_full(service_state, service):
             raise service_state.router.busy_error()
         now = self._clock.monotonic()
-        seconds = min(defaults.MAX_QUEUE_WAIT_S, (deadline - now) * _MAX_QUEUE_PART)
-        return await self._queue(service_state, service, rules, tried, now + seconds)
+        seconds = min(defaults.MAX_QUEUE_WAIT_S, (deadline - now) * _MAX_QUEUE_FRACTION)
+        return await self._wait_for_slot(service_state, service, rules, tried, now + seconds)
 
-    async def _queue(
+    async def _wait_for_slot(
         self,
         service_state: ServedService,
         service: ServiceId,
         rules: Service,
         tried: t.Collection[TargetId],
-        give_up_at: float,
+        wait_until: float,
     ) -> FleetReservation:
-        """Wait for a slot behind the requests that wait already."""
+        """Waits for a slot behind the requests that already wait."""
         waiter = service_state.wait_queue.join()
-        self._ask_for(service_state, service, tried)
+        self._request_slots(service_state, service, tried)
         try:
-            while await wait_for_turn(waiter, give_up_at - self._clock.monotonic()):
+            while await wait_for_turn(waiter, wait_until - self._clock.monotonic()):
                 waiter.clear()
                 self._refresh_router(service_state, service, rules)
                 try:
-                    return self._take(service_state, service, tried)
+                    return self._try_reserve(service_state, service, tried)
                 except RefusedError:
                     if not service_state.router.shift_limiter.allowed_regions(bool(tried)):
                         raise
                 if tried:
-                    # It may go to fewer places than the one behind it.
+                    # A retry may use fewer targets than the request behind it.
                     service_state.wait_queue.wake_after(waiter)
-                self._ask_for(service_state, service, tried)
+                self._request_slots(service_state, service, tried)
             raise service_state.router.busy_error()
         finally:
             service_state.wait_queue.leave(waiter)
 
-    def _ask_for(
+    def _request_slots(
         self, service_state: ServedService, service: ServiceId, tried: t.Collection[TargetId]
     ) -> None:
         shift_limiter = service_state.router.shift_limiter
@@ -227,7 +228,7 @@
         most = max(_MIN_QUEUE, _QUEUE_PER_SLOT * self._slots.in_use(service))
         return len(service_state.wait_queue) >= most
 
-    def _take(
+    def _try_reserve(
         self, service_state: ServedService, service: ServiceId, tried: t.Collection[TargetId]
     ) -> FleetReservation:
         now = self._clock.monotonic()
@@ -238,12 +239,12 @@
         target = self.served.bundle_by_partner[service_state.partner].targets[target_id]
         slot = self._slots.acquire(target_id)
         if slot is None:
-            # The lease lapsed since the slots were counted: the process was paused in between.
+            # The lease expired after the slots were counted, because the process was paused.
             router.undo_choice(candidate)
             raise router.busy_error()
         self.served.drains.start(target_id)
         if len(free_by_id) == 1 and free_by_id[target_id] == 1:
-            # The last free slot is gone: ask before the next request has to wait.
+            # This was the last free slot: borrow more before the next request has to wait.
             self._ask_loan(service, 1, ())
         spare = idle_connections(target, len(self._roster.by_id))
         return FleetReservation(
--- a/src/coralfall/balancing/health.py
+++ b/src/coralfall/balancing/health.py
@@ -1,7 +1,8 @@
-"""Health: what an entry believes of each target, from its own requests and from reports.
+"""Target health: this entry's estimate of each target, from its own requests and from reports.
 
-Own results come first. Reports may be late, frozen or wrong, so they only ever make the entry
-more careful with one target, and are set aside when they say that most of a region is dead.
+Detects outliers by consecutive failures. Results of this entry's own requests take precedence.
+Reports may be late, frozen or wrong, so they can only make the entry more careful with a target,
+and are ignored if they call most targets of a region dead.
 """
 
 import math
@@ -13,73 +14,73 @@
 from .ramp import probe_backoff_s, ramped_slots
 from .steering import AttemptResult
 
-#: Weight of one new latency in a target's mean, and of one in its zone's.
+#: Weights of a new latency in the moving averages of its target and of its zone.
 LATENCY_WEIGHT = 0.1
 ZONE_WEIGHT = 0.02
-#: Seconds after which half of a target's mean latency is replaced by its zone's.
+#: Half-life of a target's mean latency, after which its zone's mean takes over.
 LATENCY_HALF_LIFE_S = 5.0
-#: Mean latency of a zone that nothing is known of, in seconds.
+#: Mean latency in seconds assumed for a zone without any results.
 UNKNOWN_LATENCY_S = 0.005
-#: Seconds a target is left alone after it said that it was full, doubling up to the longest.
+#: Backoff in seconds after a target shed a request; doubles up to the maximum.
 SHED_BACKOFF_S = 0.1
 SHED_BACKOFF_MAX_S = 1.0
 
 
 class TargetHealth:
-    """What the entry believes of one target.
+    """Health of one target.
 
-    :param target: the target, as the bundle states it.
-    :param ramp_s: seconds of slow start after it was suspected.
+    :param target: target as stated in the bundle.
+    :param ramp_s: seconds of slow start after the target was suspect.
     """
 
     __slots__ = (
         "_answered_at",
+        "_backoff_until",
+        "_consecutive_sheds",
         "_latency_at",
         "_latency_s",
-        "_paused_until",
         "_probe_at",
         "_ramp_s",
         "_recovered_at",
         "_report_changed_at",
         "_reported",
-        "_sheds",
-        "_unwell_at",
+        "_unhealthy_at",
         "failures",
         "target",
     )
 
     def __init__(self, target: Target, ramp_s: float) -> None:
         self.target = target
-        #: Failures in a row.
+        #: Consecutive failures.
         self.failures = 0
         self._ramp_s = ramp_s
         self._answered_at = float("-inf")
         self._latency_at = float("-inf")
         self._latency_s = 0.0
-        self._paused_until = float("-inf")
+        self._backoff_until = float("-inf")
         self._probe_at = float("-inf")
         self._recovered_at = float("-inf")
         self._report_changed_at = float("-inf")
         self._reported = 0.0
-        self._sheds = 0
-        self._unwell_at = float("-inf")
+        self._consecutive_sheds = 0
+        self._unhealthy_at = float("-inf")
 
     @property
     def is_suspect(self) -> bool:
-        """Whether its last requests failed in a row."""
+        """Whether the latest requests failed consecutively."""
         return self.failures >= defaults.SUSPECT_FAILURES
 
     @property
     def is_dead(self) -> bool:
-        """Whether so many failed that no doubt is left."""
+        """Whether so many consecutive requests failed that the target is certainly dead."""
         return self.failures >= defaults.DEAD_FAILURES
 
     def record_answer(self, seconds: float, now: float) -> None:
-        """Take in an answer that came after ``seconds``."""
+        """Records an answer that took ``seconds``."""
         if self.is_suspect:
             self._recovered_at = now
         self.failures = 0
-        self._sheds = 0
+        self._consecutive_sheds = 0
         self._answered_at = now
         if self._latency_at == float("-inf"):
             self._latency_s = seconds
@@ -87,60 +88,63 @@
         self._latency_at = now
 
     def record_shed(self, now: float) -> None:
-        """Take in the target's own word that it did not run a request for want of room."""
-        pause = min(SHED_BACKOFF_S * 2.0**self._sheds, SHED_BACKOFF_MAX_S)
-        self._paused_until = now + pause
-        self._sheds = min(self._sheds + 1, 16)
+        """Records that the target rejected a request because it was full."""
+        backoff_s = min(SHED_BACKOFF_S * 2.0**self._consecutive_sheds, SHED_BACKOFF_MAX_S)
+        self._backoff_until = now + backoff_s
+        self._consecutive_sheds = min(self._consecutive_sheds + 1, 16)
 
     def record_failure(self, now: float) -> None:
-        """Take in a request that got no whole answer, or none at all."""
+        """Records a request that got no answer or an incomplete one."""
         self.failures += 1
         self._probe_at = now + probe_backoff_s(self.failures - defaults.SUSPECT_FAILURES)
 
     def record_report(self, in_flight: int, slots: int, now: float, healthy: bool = True) -> None:
-        """Take in a report of load and health."""
+        """Records a report of load and health."""
         reported = in_flight / max(1, slots)
         if reported != self._reported:
             self._reported = reported
             self._report_changed_at = now
-        self._unwell_at = float("-inf") if healthy else now
+        self._unhealthy_at = float("-inf") if healthy else now
 
     def seems_dead(self, now: float) -> bool:
-        """Whether requests failed in a row, or it calls itself unwell and no answer says else."""
+        """Returns whether requests failed consecutively, or a report of ill health is unrefuted.
+
+        An answer after the report refutes it.
+        """
         if self.is_suspect:
             return True
         return (
-            now - self._unwell_at < defaults.UNHEALTHY_REPORT_TTL_S
-            and self._answered_at < self._unwell_at
+            now - self._unhealthy_at < defaults.UNHEALTHY_REPORT_TTL_S
+            and self._answered_at < self._unhealthy_at
         )
 
     def is_backing_off(self, now: float) -> bool:
-        """Whether it said a moment ago that it was full."""
-        return now < self._paused_until
+        """Returns whether the target shed a request recently."""
+        return now < self._backoff_until
 
     def is_probe_due(self, now: float) -> bool:
-        """Whether a single request may find out if a suspected target is back."""
+        """Returns whether a single request may test whether a suspect target has recovered."""
         return now >= self._probe_at
 
     def start_probe(self, now: float) -> None:
-        """Count a request as the probe; the next one waits for its result or the backoff."""
+        """Counts a request as the probe; the next one waits for its result or for the backoff."""
         self._probe_at = now + probe_backoff_s(self.failures - defaults.SUSPECT_FAILURES + 1)
 
     def load(self, own: float, prior: float, now: float) -> float:
-        """Share of the target's slots in use, as far as can be known.
+        """Returns the estimated share of the target's slots in use.
 
-        A report counts from its last change, so one that is frozen fades like one that stopped
-        coming; what replaces it is ``prior``, and in no case is it less than ``own``.
+        The age of a report counts from its last change, so a frozen report fades just like one that
+        stopped arriving. As it fades, ``prior`` replaces it. The result is never below ``own``.
 
         :param own: share of the target's slots that this entry uses.
-        :param prior: share of all its slots in the service that this entry uses.
+        :param prior: share of its slots of the whole service that this entry uses.
         """
         age = now - self._report_changed_at
         weight = math.pow(0.5, age / defaults.REPORT_HALF_LIFE_S)
         return max(own, weight * self._reported + (1 - weight) * prior)
 
     def expected_latency_s(self, zone_latency_s: float, now: float) -> float:
-        """Seconds until an answer is to be expected.
+        """Returns the expected seconds until an answer.
 
         :param zone_latency_s: mean of the target's zone, which replaces an old estimate.
         """
@@ -148,50 +152,50 @@
         return weight * self._latency_s + (1 - weight) * zone_latency_s
 
     def usable_slots(self, now: float) -> int:
-        """Slots with an index below this may be used."""
+        """Returns the index below which slots may be used."""
         if self._recovered_at == float("-inf"):
             return self.target.slots
         return ramped_slots(self.target.slots, self._recovered_at, now, self._ramp_s)
 
 
 class _RegionHealth:
-    """What the entry believes of one region of a service."""
+    """Health of one region of a service."""
 
-    __slots__ = ("doubted", "failures", "known", "looking_dead")
+    __slots__ = ("failures", "is_distrusted", "seeming_dead", "target_count")
 
     def __init__(self) -> None:
-        #: Failures in a row, of whichever targets.
+        #: Consecutive failures over all targets of the region.
         self.failures = 0
-        #: Targets, and those of them that look dead.
-        self.known = 0
-        self.looking_dead = 0
-        #: Whether so many look dead that it is not believed.
-        self.doubted = False
+        #: Number of targets, and of those that seem dead.
+        self.target_count = 0
+        self.seeming_dead = 0
+        #: Whether so many targets seem dead that the measurements are distrusted.
+        self.is_distrusted = False
 
 
 class ServiceHealth:
-    """Health of all targets of one service, and the doubt in it.
+    """Health of all targets and regions of one service.
 
-    When more than half of the targets of a region look dead at once, the measurements are
-    doubted: its targets are used again, within their slots, but for those that failed
-    ``defaults.DEAD_FAILURES`` times in a row here. A region is lost when
-    ``defaults.REGION_DEAD_FAILURES`` own requests in a row failed there, whatever the targets;
-    reports alone never make it so. If all regions are lost, the entry doubts itself and goes
-    on using all of them.
+    If more than half of a region's targets seem dead at once, the measurements are distrusted: its
+    targets are used again, within their slots, except for those that failed
+    ``defaults.DEAD_FAILURES`` consecutive requests of this entry. A region is lost when
+    ``defaults.REGION_DEAD_FAILURES`` consecutive requests of this entry failed there, on any
+    targets; reports alone never cause this. If all regions are lost, the entry assumes that the
+    fault is its own and keeps using all of them.
 
-    :param ramp_s: seconds of slow start after a target was suspected.
+    :param ramp_s: seconds of slow start after a target was suspect.
     """
 
     def __init__(self, ramp_s: float) -> None:
         self.health_by_target: t.Dict[TargetId, TargetHealth] = {}
         self._ramp_s = ramp_s
         self._region_by_id: t.Dict[RegionId, _RegionHealth] = {}
-        self._serving: t.Set[RegionId] = set()
+        self._serving_regions: t.Set[RegionId] = set()
         self._all_lost = False
         self._latency_by_zone: t.Dict[ZoneId, float] = {}
 
     def set_targets(self, targets_by_id: t.Mapping[TargetId, Target], now: float) -> None:
-        """Know just these targets; what is known of those that stay is kept."""
+        """Sets the targets; the state of targets that remain is kept."""
         for target_id in list(self.health_by_target):
             if target_id not in targets_by_id:
                 del self.health_by_target[target_id]
@@ -204,29 +208,29 @@
         self.refresh(now)
 
     def refresh(self, now: float) -> None:
-        """Reckon anew which regions are doubted and which are lost."""
+        """Recomputes which regions are distrusted and which are lost."""
         for region in self._region_by_id.values():
-            region.known = region.looking_dead = 0
+            region.target_count = region.seeming_dead = 0
         for health in self.health_by_target.values():
             region = self._region_by_id.setdefault(health.target.region, _RegionHealth())
-            region.known += 1
-            region.looking_dead += health.seems_dead(now)
-        self._serving.clear()
+            region.target_count += 1
+            region.seeming_dead += health.seems_dead(now)
+        self._serving_regions.clear()
         for region_id, region in list(self._region_by_id.items()):
-            if not region.known:
+            if not region.target_count:
                 del self._region_by_id[region_id]
                 continue
-            region.doubted = 2 * region.looking_dead > region.known
+            region.is_distrusted = 2 * region.seeming_dead > region.target_count
             if region.failures < defaults.REGION_DEAD_FAILURES:
-                self._serving.add(region_id)
-        self._all_lost = not self._serving
+                self._serving_regions.add(region_id)
+        self._all_lost = not self._serving_regions
         if self._all_lost:
-            self._serving.update(self._region_by_id)
+            self._serving_regions.update(self._region_by_id)
 
     @property
     def serving_regions(self) -> t.AbstractSet[RegionId]:
         """Regions that can serve."""
-        return self._serving
+        return self._serving_regions
 
     def record_attempt(
         self,
@@ -236,10 +240,10 @@
         load: t.Optional[str],
         now: float,
     ) -> None:
-        """Take in what an attempt says of its target.
+        """Records the result of an attempt.
 
-        :param seconds: how long it took.
-        :param load: the target's own word on its load, as ``in-flight/slots``, if it gave one.
+        :param seconds: duration of the attempt.
+        :param load: the target's own load report, as ``in-flight/slots``, if it sent one.
         """
         known = self.health_by_target.get(target_id)
         if known is None:
@@ -252,29 +256,29 @@
             self.record_answer(target_id, seconds, now)
             return
         if result is AttemptResult.NOT_RUN and load is not None:
-            # The target's own word; without a load report nobody was reached.
+            # The target itself rejected the request; without a load report, no target was reached.
             known.record_shed(now)
             return
         if result is not AttemptResult.CANCELLED:
             self.record_failure(target_id, now)
 
     def record_answer(self, target_id: TargetId, seconds: float, now: float) -> None:
-        """Take in an answer of a target."""
+        """Records an answer of a target."""
         health = self.health_by_target.get(target_id)
         if health is None:
             return
         region = self._region_by_id[health.target.region]
-        news = health.is_suspect or region.failures >= defaults.REGION_DEAD_FAILURES
+        recovered = health.is_suspect or region.failures >= defaults.REGION_DEAD_FAILURES
         region.failures = 0
         health.record_answer(seconds, now)
         zone = health.target.zone
         mean = self._latency_by_zone.setdefault(zone, seconds)
         self._latency_by_zone[zone] = mean + ZONE_WEIGHT * (seconds - mean)
-        if news:
+        if recovered:
             self.refresh(now)
 
     def record_failure(self, target_id: TargetId, now: float) -> None:
-        """Take in a failure of a target."""
+        """Records a failure of a target."""
         health = self.health_by_target.get(target_id)
         if health is None:
             return
@@ -285,7 +289,7 @@
             self.refresh(now)
 
     def is_usable(self, target_id: TargetId, now: float) -> bool:
-        """Whether a target may get requests that are not probes."""
+        """Returns whether a target may get requests other than probes."""
         health = self.health_by_target[target_id]
         if health.is_backing_off(now):
             return False
@@ -294,15 +298,15 @@
         region = self._region_by_id[health.target.region]
         if region.failures >= defaults.REGION_DEAD_FAILURES:
             return False
-        return not health.is_dead if region.doubted else not health.seems_dead(now)
+        return not health.is_dead if region.is_distrusted else not health.seems_dead(now)
 
     def is_probe_due(self, target_id: TargetId, now: float) -> bool:
-        """Whether a target that is not usable may get one request to find out."""
+        """Returns whether a target that is not usable may get one request as a probe."""
         health = self.health_by_target[target_id]
         return not health.is_backing_off(now) and health.is_probe_due(now)
 
     def expected_latency_s(self, target_id: TargetId, now: float) -> float:
-        """Seconds until a target's answer is to be expected."""
+        """Returns the expected seconds until a target answers."""
         health = self.health_by_target[target_id]
         prior = self._latency_by_zone.get(health.target.zone, UNKNOWN_LATENCY_S)
         return health.expected_latency_s(prior, now)
--- a/src/coralfall/balancing/link_limiter.py
+++ b/src/coralfall/balancing/link_limiter.py
@@ -1,11 +1,12 @@
-"""Link allowance: how many bytes a second an entry may send into each region.
-
-A region's links have a fixed rate that all entries share.  It is shared by slots: an entry may
-send at the part of the rate that the slots it holds are of all the region's slots.  A slot has
-one holder at a time, so the parts never add up to more than the rate, whoever joins, leaves or
-lends, and the rate is where the requests are.  An even share by members would need a handover
-of its own, would leave the share of an idle entry unused, and at 530 entries would cut a link
-of 125 MB/s into pieces of 0.24 MB/s.
+"""Rate limits of the bytes that an entry sends into each region.
+
+A region's links have a fixed rate that all entries share in proportion to slots: an entry may
+send at the fraction of the rate that its slots are of all the region's slots.  A slot has one
+holder at a time, so the fractions never add up to more than the rate, whoever joins, leaves or
+lends, and the rate is where the requests are.  An even share per member would need a handover of
+its own, would leave the shares of idle entries unused, and with 530 entries would cut a link of
+125 MB/s into pieces of 0.24 MB/s.  Each region's limiter is a token bucket in its virtual
+scheduling form.
 """
 
 import typing as t
@@ -22,11 +23,11 @@
 
 
 class LinkRate(msgspec.Struct, frozen=True):
-    """Bytes a second that an entry may send into a region."""
+    """Bytes per second that an entry may send into a region."""
 
-    #: With the slots that it holds.
+    #: With the slots that the entry holds.
     held: float
-    #: For a single slot.
+    #: With a single slot.
     per_slot: float
 
 
@@ -35,11 +36,11 @@
     limits: "Limits",
     held: t.Mapping[RegionId, int],
 ) -> t.Dict[RegionId, LinkRate]:
-    """The rates of this entry into each region.
+    """Returns the rate of this entry into each region.
 
-    :param bundles: bundles that may be in force; the least rate that a region has in any counts.
+    :param bundles: bundles that may be in force; the lowest rate that any gives a region counts.
     :param limits: slots of all targets.
-    :param held: of :meth:`coralfall.balancing.slots.SlotTable.held_by_region`.
+    :param held: result of :meth:`coralfall.balancing.slots.SlotTable.held_by_region`.
     """
     slots_by_region: t.Dict[RegionId, int] = {}
     for limit in limits.values():
@@ -61,17 +62,17 @@
     __slots__ = ("ready_at",)
 
     def __init__(self) -> None:
-        #: When the bytes promised so far will have been sent at the rate.
+        #: Monotonic time by which the bytes granted so far have been sent at the rate.
         self.ready_at = -float("inf")
 
 
 class LinkLimiter:
     """Tells senders how long to wait so that each region's rate is kept.
 
-    Over any ``t`` seconds no more is let through than ``rate * (t + LINK_BURST_S)`` and the
-    one piece that came last.
+    Over any ``t`` seconds, it lets through at most ``rate * (t + LINK_BURST_S)`` bytes and the last
+    piece.
 
-    :param clock: the entry's clock.
+    :param clock: clock of this entry.
     """
 
     def __init__(self, clock: "Clock") -> None:
@@ -80,14 +81,14 @@
         self._bucket_by_region: t.Dict[RegionId, _Bucket] = {}
 
     def set_rates(self, rates: t.Mapping[RegionId, LinkRate]) -> None:
-        """Go on at these rates; a region that is not named has none."""
+        """Sets the rates; a region that is not named has none."""
         self._rates = rates
 
     def reserve(self, region: RegionId, size: int) -> float:
-        """Seconds to wait before sending a piece of ``size`` bytes; it is counted as sent.
+        """Returns the seconds to wait before sending ``size`` bytes, which count as sent.
 
-        To be asked only with a slot in the region at hand: if the rates were set before that
-        slot was borrowed, a single slot's rate counts.  Infinite for an unknown region.
+        The caller must hold a slot in the region.  If the rates were set before that slot was
+        borrowed, a single slot's rate applies.  Infinite for an unknown region.
         """
         known = self._rates.get(region)
         if known is None:
--- a/src/coralfall/balancing/owner_counts.py
+++ b/src/coralfall/balancing/owner_counts.py
@@ -1,4 +1,4 @@
-"""Owner counts: how many slots of a service other entries own, by the roster known here."""
+"""Counts how many slots of a service other entries own, by the roster known to this entry."""
 
 import typing as t
 
@@ -8,14 +8,14 @@
 if t.TYPE_CHECKING:
     from .limits import Limits, TargetLimit
 
-#: Members times targets that one call of :meth:`OwnerCounts.of_service` works through at most.
+#: Members times targets that one call of :meth:`OwnerCounts.of_service` hashes at most.
 MEMBERS_PER_CALL = 5000
 
 
 class OwnerCounts:
-    """Works owners out when asked for, and remembers them until roster or limits change.
+    """Computes owners on demand and caches them until the roster or the limits change.
 
-    :param entry_id: this entry, which is no other.
+    :param entry_id: id of this entry, which is left out of the counts.
     """
 
     def __init__(self, entry_id: EntryId) -> None:
@@ -24,31 +24,31 @@
         self._by_target: t.Dict[TargetId, t.Dict[EntryId, int]] = {}
 
     def set_others(self, others: t.Collection[EntryId]) -> None:
-        """Take in the other members of the roster."""
+        """Sets the other members of the roster."""
         self._others = others
         self._by_target = {}
 
-    def forget(self, target_id: TargetId) -> None:
-        """Work a target's owners out anew, after its limit has changed."""
+    def discard(self, target_id: TargetId) -> None:
+        """Discards the cached owners of a target whose limit has changed."""
         self._by_target.pop(target_id, None)
 
     def of_service(
         self, service: ServiceId, regions: t.Collection[RegionId], limits: "Limits"
     ) -> t.Dict[EntryId, int]:
-        """How many slots of the service each other member owns.
+        """Returns how many slots of the service each other member owns.
 
-        In a large fleet a call works out some targets only, and further calls the others.
+        In a large fleet a call computes only some targets, and later calls the others.
 
         :param regions: regions whose targets count; empty for any.
         """
         counts: t.Dict[EntryId, int] = {}
-        unknown = max(1, MEMBERS_PER_CALL // (len(self._others) + 1))
+        computations_left = max(1, MEMBERS_PER_CALL // (len(self._others) + 1))
         for target_id, limit in limits.items():
             if limit.service != service or (regions and limit.region not in regions):
                 continue
             if target_id not in self._by_target:
-                unknown -= 1
-                if unknown < 0:
+                computations_left -= 1
+                if computations_left < 0:
                     continue
             for entry_id, count in self._of_target(target_id, limit).items():
                 counts[entry_id] = counts.get(entry_id, 0) + count
--- a/src/coralfall/balancing/routing.py
+++ b/src/coralfall/balancing/routing.py
@@ -1,4 +1,7 @@
-"""Routing: which of the targets with a free slot gets a request."""
+"""Routing: chooses the target of a request among those with a free slot.
+
+A policy ranks the targets by cost; the shift limiter and target health restrict the choice.
+"""
 
 import abc
 import typing as t
@@ -9,41 +12,41 @@
 from ..exceptions import RefusedError
 from ..ids import PolicyName, RegionId, ServiceId, TargetId, ZoneId
 from .health import ServiceHealth
-from .shift_cap import ShiftLimiter
+from .shift import ShiftLimiter
 
-#: Seconds between two reckonings of what changes slowly (load, latency, shares).
+#: Interval in seconds for updating slowly changing values (load, latency, shares).
 REFRESH_S = 0.05
-#: Steps of free share that the headroom policy tells regions and targets apart by.
+#: Resolution in steps with which the headroom policy compares loads.
 HEADROOM_STEPS = 20
-#: By how much of its latency a wholly loaded target is put back.
+#: Fraction of its latency added to the cost of a fully loaded target.
 LOAD_PENALTY = 0.5
 
 
 class Candidate(msgspec.Struct, kw_only=True, eq=False):
-    """A target as the policies see it."""
+    """A target as seen by the policies."""
 
     target_id: TargetId
     region: RegionId
     zone: ZoneId
     slots: int
-    #: Requests of this entry in flight there.
+    #: This entry's requests in flight on the target.
     in_flight: int = 0
-    #: Slots that this entry may use there now.
+    #: Slots of the target that this entry may use now.
     free: int = 0
-    #: Share of the target's slots in use, as far as can be known.
+    #: Estimated share of the target's slots in use.
     load: float = 0.0
     #: Mean of ``load`` over the region's targets.
     region_load: float = 0.0
-    #: Seconds until an answer is to be expected, its way included.
+    #: Expected seconds until an answer, including network time.
     latency_s: float = 0.0
-    #: Whether it may only be probed.
+    #: Whether the target may get only probes.
     suspect: bool = False
 
 
 class Policy(abc.ABC):
     """Ranks the targets of a service by one objective.
 
-    Write your own by giving a cost; the target with the least is taken::
+    A custom policy defines the cost; the target with the lowest one is chosen::
 
         class Cheapest(Policy):
             def cost(self, candidate):
@@ -52,22 +55,22 @@
 
     @abc.abstractmethod
     def cost(self, candidate: Candidate) -> float:
-        """What sending a request to the candidate costs, in any unit."""
+        """Returns the cost of sending a request to the candidate, in any unit."""
 
     def rank(self, candidates: t.Iterable[Candidate]) -> t.List[Candidate]:
-        """The candidates, the best first; equal ones in the order given."""
+        """Returns the candidates, best first; equal ones keep their order."""
         return sorted(candidates, key=self.cost)
 
 
 class LatencyFirst(Policy):
-    """The earliest answer: measured latency, its way included, and some for load."""
+    """Prefers the earliest answer by measured latency, with a penalty for load."""
 
     def cost(self, candidate: Candidate) -> float:
         return candidate.latency_s * (1 + LOAD_PENALTY * candidate.load)
 
 
 class HeadroomFirst(Policy):
-    """The most free share of the region, then of the target, then the earliest answer."""
+    """Prefers the region with the most free share, then the target, then the earliest answer."""
 
     def cost(self, candidate: Candidate) -> float:
         region_step = int(candidate.region_load * HEADROOM_STEPS)
@@ -82,18 +85,18 @@
 
 
 def policy_for(name: PolicyName) -> Policy:
-    """The policy that a bundle names."""
+    """Returns the policy with the name that a bundle states."""
     return _POLICY_BY_NAME[name]()
 
 
 class Router:
     """Chooses targets for the requests of one service on one entry.
 
-    For each request of a caller call :meth:`offer`, then :meth:`choose` until it gives a
-    target or the request is given up, which :meth:`refuse` counts.
+    For each request of a caller, call :meth:`count_request`, then :meth:`choose` until it returns a
+    target or the request is given up, which :meth:`count_refused` records.
 
     :param service: rules in force.
-    :param governor: keeps the shift cap.
+    :param shift_limiter: enforces the shift cap.
     :param health: health of the service's targets.
     """
 
@@ -114,7 +117,7 @@
         self._refreshed_at = now
 
     def set_targets(self, targets_by_id: t.Mapping[TargetId, Target], now: float) -> None:
-        """Know just these targets; those that are leaving are to be left out."""
+        """Sets the targets; those that are leaving must be left out."""
         self.health.set_targets(targets_by_id, now)
         for target_id in list(self.candidate_by_id):
             if target_id not in targets_by_id:
@@ -128,12 +131,12 @@
                 slots=target.slots,
                 in_flight=0 if known is None else known.in_flight,
             )
-        self._reckon(0.0, now)
+        self._update_candidates(0.0, now)
 
     def refresh(
         self, service: Service, planned: t.Mapping[RegionId, float], prior: float, now: float
     ) -> None:
-        """Reckon loads, latencies and shares anew if that is due; to be called often.
+        """Updates loads, latencies and shares if that is due; to be called often.
 
         :param service: rules in force.
         :param planned: planned shares now.
@@ -147,19 +150,19 @@
             self._policy = policy_for(service.policy)
         self.health.refresh(now)
         self.shift_limiter.advance(service, planned, self.health.serving_regions, now)
-        self._reckon(prior, now)
+        self._update_candidates(prior, now)
 
     @property
     def policy_name(self) -> PolicyName:
-        """The policy in force."""
+        """Name of the policy in force."""
         return self._service.policy
 
     def is_refresh_due(self, now: float) -> bool:
-        """Whether :meth:`refresh` would do anything; spares working out what it is given."""
+        """Returns whether :meth:`refresh` is due; if not, its arguments need not be computed."""
         return now - self._refreshed_at >= REFRESH_S
 
     def count_request(self) -> None:
-        """Count one request of a caller, once however often it is tried."""
+        """Counts a request of a caller, once no matter how often it is tried."""
         self.shift_limiter.count_request()
 
     def choose(
@@ -169,38 +172,40 @@
         now: float,
         probe: bool = True,
     ) -> Candidate:
-        """The target for a request, which counts as sent there.
+        """Returns the target for a request, which counts as sent there.
 
         :param free_by_id: slots that this entry may use now, by target.
         :param tried: targets that the request was sent to before.
-        :param probe: whether the request may find out if a suspected target is back.
-        :raises RefusedError: if there is none now.
+        :param probe: whether the request may be a probe of a suspect target.
+        :raises RefusedError: if no target may take the request now.
         """
-        allowed = self.shift_limiter.allowed_regions(bool(tried))
-        best = self._best(allowed, free_by_id, tried, now, probe)
+        allowed_regions = self.shift_limiter.allowed_regions(bool(tried))
+        best = self._find_best(allowed_regions, free_by_id, tried, now, probe)
         if best is None and not tried:
-            best = self._best(self.shift_limiter.overdraft_regions(), free_by_id, tried, now, False)
+            best = self._find_best(
+                self.shift_limiter.overdraft_regions(), free_by_id, tried, now, False
+            )
         if best is None:
-            raise self._refused(allowed)
-        return self._take(best)
+            raise self._refusal(allowed_regions)
+        return self._count_sent(best)
 
     def undo_choice(self, candidate: Candidate) -> None:
-        """Count a request as not sent to the target chosen for it after all."""
+        """Counts a request as not sent to the target that was chosen for it."""
         self.shift_limiter.refund(candidate.region)
         self.count_finished(candidate.target_id)
 
     def count_refused(self) -> None:
-        """Count a request as given up before any target saw it."""
+        """Counts a request as refused before it reached any target."""
         self.shift_limiter.count_refused()
 
     def count_finished(self, target_id: TargetId) -> None:
-        """Count a request as over; its result is told to :attr:`health`."""
+        """Counts a request as finished; its result goes to :attr:`health`."""
         candidate = self.candidate_by_id.get(target_id)
         if candidate is not None and candidate.in_flight > 0:
             candidate.in_flight -= 1
             candidate.load = max(0.0, candidate.load - 1 / candidate.slots)
 
-    def _best(
+    def _find_best(
         self,
         regions: t.Collection[RegionId],
         free_by_id: t.Mapping[TargetId, int],
@@ -236,35 +241,35 @@
         self.health.health_by_target[candidate.target_id].start_probe(now)
         return True
 
-    def _take(self, candidate: Candidate) -> Candidate:
+    def _count_sent(self, candidate: Candidate) -> Candidate:
         self.shift_limiter.charge(candidate.region)
         candidate.in_flight += 1
         candidate.load += 1 / candidate.slots
         return candidate
 
     def busy_error(self) -> RefusedError:
-        """The answer for a request that waited for a slot in vain."""
+        """Returns the error for a request that found no free slot in time."""
         message = "every target that may take the request is busy; retry later"
-        return RefusedError(message, self._busy_s(), service=self.service_id)
+        return RefusedError(message, self._busy_retry_after_s(), service=self.service_id)
 
-    def _refused(self, allowed: t.Collection[RegionId]) -> RefusedError:
-        if allowed:
+    def _refusal(self, allowed_regions: t.Collection[RegionId]) -> RefusedError:
+        if allowed_regions:
             return self.busy_error()
         message = "no region may take more of the service's requests yet; retry later"
         return RefusedError(message, self.shift_limiter.retry_after_s(), service=self.service_id)
 
-    def _busy_s(self) -> float:
+    def _busy_retry_after_s(self) -> float:
         seconds = 0.05
         for candidate in self.candidate_by_id.values():
             seconds = max(seconds, candidate.latency_s)
         return min(seconds, 1.0)
 
-    def _reckon(self, prior: float, now: float) -> None:
+    def _update_candidates(self, prior: float, now: float) -> None:
         loads_by_region: t.Dict[RegionId, t.List[float]] = {}
         for target_id, candidate in self.candidate_by_id.items():
             health = self.health.health_by_target[target_id]
-            own = candidate.in_flight / max(1, candidate.slots)
-            candidate.load = health.load(own, prior, now)
+            own_load = candidate.in_flight / max(1, candidate.slots)
+            candidate.load = health.load(own_load, prior, now)
             candidate.latency_s = self.health.expected_latency_s(target_id, now)
             candidate.suspect = not self.health.is_usable(target_id, now)
             loads_by_region.setdefault(candidate.region, []).append(candidate.load)
--- a/src/coralfall/balancing/served_services.py
+++ b/src/coralfall/balancing/served_services.py
@@ -1,8 +1,8 @@
-"""Served: the services that an entry serves, as bundles, roster and time say at the moment.
+"""The services that an entry serves, as bundles, roster and time require at the moment.
 
-It works out from them what all entries together may do with each target, which slots this entry
-may use, how fast it may send into each region, where each service's requests go, and which targets
-leave.
+From these it derives what all entries together may do with each target, which slots this entry
+may use, how fast it may send into each region, where the requests of each service go, and which
+targets are draining.
 """
 
 import typing as t
@@ -15,7 +15,7 @@
 from .limits import CapacityLimits
 from .link_limiter import LinkLimiter, link_rates
 from .routing import Router
-from .shift_cap import ShiftLimiter
+from .shift import ShiftLimiter
 from .shift_plan import Shares, planned_shares
 from .wait_queue import WaitQueue
 
@@ -29,10 +29,10 @@
 
 
 class ServedService:
-    """What the steering of one service needs between requests.
+    """State for steering one service that is kept between requests.
 
-    :param partner: whose service it is.
-    :param router: chooses its targets.
+    :param partner: partner that the service belongs to.
+    :param router: chooses targets for the service.
     """
 
     def __init__(self, partner: PartnerId, router: Router) -> None:
@@ -43,13 +43,13 @@
 
 
 class ServedServices:
-    """The services of all partners that are served.
+    """The services in force of all partners.
 
-    :param rollouts: the partners' lines, by partner.
-    :param roster: the roster.
-    :param slots: the slots that this entry may use.
-    :param clock: the VM's clocks.
-    :param platform_clock: the platform's time, in which shifts and ramps are reckoned.
+    :param rollouts: rollout of bundles of each partner.
+    :param roster: members of the fleet.
+    :param slots: slots that this entry owns or has borrowed.
+    :param clock: clocks of the VM.
+    :param platform_clock: the platform's time, by which shifts and ramps progress.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._clock = clock
         self._platform_clock = platform_clock
         self._limits = CapacityLimits(clock)
-        #: The bundles that are served under, by partner.
+        #: The bundle in effect of each partner.
         self.bundle_by_partner: t.Dict[PartnerId, Bundle] = {}
         self.service_by_key: t.Dict[ServiceKey, ServedService] = {}
         self.drains = DrainTracker()
@@ -75,27 +75,27 @@
         self.limits: "Limits" = {}
 
     def service_ids(self) -> t.List[ServiceId]:
-        """All services in force, of all partners."""
+        """Returns all services in force, of all partners."""
         return [service for _, service in self.service_by_key]
 
     def routers(self) -> t.Dict[ServiceKey, Router]:
-        """The routers of all services, for status and metrics."""
+        """Returns the routers of all services, for status and metrics."""
         return {key: served.router for key, served in self.service_by_key.items()}
 
     def wake(self, service: t.Optional[ServiceId] = None) -> None:
-        """Let requests that wait for a slot look again.
+        """Wakes requests that wait for a slot.
 
-        :param service: whose requests; by default those of all services.
+        :param service: service whose requests to wake; by default those of all services.
         """
         for (_, service_id), served in self.service_by_key.items():
             if service is None or service_id == service:
                 served.wait_queue.wake_first()
 
     def refresh(self) -> None:
-        """Take in bundles, roster and time as they are now.
+        """Applies the current bundles, roster and time.
 
-        Slots that are lost are given up before this returns. Go on with
-        :meth:`coralfall.balancing.slots.SlotTable.steps` for those that are gained.
+        Lost slots are removed before this returns. For gained ones, the caller continues with
+        :meth:`coralfall.balancing.slots.SlotTable.update_steps`.
         """
         self._refresh_limits()
         for partner, rollout in self._rollouts.items():
@@ -105,7 +105,7 @@
                 continue
             if self.bundle_by_partner.get(partner) is not effective:
                 self.bundle_by_partner[partner] = effective
-                self._take_bundle(partner, effective)
+                self._apply_bundle(partner, effective)
         self._mark_drains()
 
     def _refresh_limits(self) -> None:
@@ -128,14 +128,14 @@
         self.link_limiter.set_rates(link_rates([accepted, staged], self.limits, held_by_region))
 
     def planned_shares(self, partner: PartnerId, service_id: ServiceId, rules: Service) -> Shares:
-        """The shares of a service's regions as its bundle plans them for this moment."""
+        """Returns the shares of a service's regions that its bundle plans for this moment."""
         rollout = self._rollouts[partner]
         bundle = rollout.accepted()
         accepted = None if bundle is None else bundle.services.get(service_id)
         now = self._platform_clock.now()
         return planned_shares(rollout.head, service_id, accepted or rules, now)
 
-    def _take_bundle(self, partner: PartnerId, bundle: Bundle) -> None:
+    def _apply_bundle(self, partner: PartnerId, bundle: Bundle) -> None:
         now = self._clock.monotonic()
         for key in list(self.service_by_key):
             if key[0] == partner and key[1] not in bundle.services:
@@ -143,7 +143,7 @@
         for service_id, service in bundle.services.items():
             served = self.service_by_key.get((partner, service_id))
             if served is None:
-                served = self._new(partner, service_id, service, now)
+                served = self._create_service(partner, service_id, service, now)
                 self.service_by_key[partner, service_id] = served
             serving = {}
             for target_id, target in bundle.targets.items():
@@ -151,7 +151,7 @@
                     serving[target_id] = target
             served.router.set_targets(serving, now)
 
-    def _new(
+    def _create_service(
         self, partner: PartnerId, service_id: ServiceId, service: Service, now: float
     ) -> ServedService:
         planned = self.planned_shares(partner, service_id, service)
--- a/src/coralfall/balancing/slot.py
+++ b/src/coralfall/balancing/slot.py
@@ -1,4 +1,4 @@
-"""One slot: a unit of a target's capacity, and when an entry may use it."""
+"""A slot, one unit of a target's capacity, and the rule for when an entry may use it."""
 
 import typing as t
 
@@ -10,7 +10,7 @@
 
 INFINITY = float("inf")
 
-#: Target and index: what all entries call a slot by.
+#: Target and index, which identify a slot on all entries.
 SlotKey = t.Tuple[TargetId, int]
 
 
@@ -18,13 +18,13 @@
     """One unit of a target's capacity, owned or borrowed; only the slot table changes it."""
 
     __slots__ = (
-        "blocker",
+        "blocking_member",
         "busy",
         "index",
         "lent_until",
         "loan",
+        "prior_dispatch_until",
         "region",
-        "rests_from",
         "runs_until",
         "service",
         "target_id",
@@ -37,26 +37,26 @@
         self.index = index
         self.service = limit.service
         self.region = limit.region
-        #: Whether a request holds it.
+        #: Whether a request holds the slot.
         self.busy = False
-        #: When the request that holds it must be over.
+        #: Monotonic time by which the request that holds the slot must be over.
         self.runs_until = -INFINITY
-        #: When a request last took it or gave it back.
+        #: Monotonic time at which a request last took or released the slot.
         self.used_at = -INFINITY
-        #: Last moment at which an earlier owner may have dispatched into it.
-        self.rests_from = -INFINITY
-        #: Member that may still own it by an older roster.
-        self.blocker: t.Optional[EntryId] = None
-        #: When the last request of a borrower must be over.
+        #: Last monotonic time at which an earlier owner may have dispatched into the slot.
+        self.prior_dispatch_until = -INFINITY
+        #: Member that may still own the slot by an older roster.
+        self.blocking_member: t.Optional[EntryId] = None
+        #: Monotonic time by which the last request of a borrower must be over.
         self.lent_until = -INFINITY
-        #: End of a borrowed slot's time; an owned slot has none.
+        #: Monotonic time at which the loan of a borrowed slot ends; infinite for an owned slot.
         self.valid_until = INFINITY
-        #: Lender and number of the loan, if it is borrowed.
+        #: Lender and loan id, if the slot is borrowed.
         self.loan: t.Optional[t.Tuple[EntryId, int]] = None
 
     @property
     def key(self) -> SlotKey:
-        """What all entries call it by."""
+        """Target and index, which identify the slot on all entries."""
         return self.target_id, self.index
 
     def __repr__(self) -> str:
@@ -64,14 +64,15 @@
 
 
 def may_use(slot: Slot, limit: "TargetLimit", ceiling: int, now: float, leased: bool) -> bool:
-    """Whether the slot is this entry's to use now, busy or not.
+    """Returns whether this entry may use the slot now, busy or not.
 
-    :param leased: whether the entry's lease counts, which borrowed slots do not need.
+    :param ceiling: index below which slots may be used.
+    :param leased: whether the entry's lease is valid, which borrowed slots do not need.
     """
     if slot.index >= ceiling or now >= slot.valid_until:
         return False
     if slot.loan is not None:
         return True
-    if slot.blocker is not None or now < slot.lent_until or not leased:
+    if slot.blocking_member is not None or now < slot.lent_until or not leased:
         return False
-    return now >= slot.rests_from + limit.timeout_s + defaults.HANDOVER_MARGIN_S
+    return now >= slot.prior_dispatch_until + limit.timeout_s + defaults.HANDOVER_MARGIN_S
--- a/src/coralfall/balancing/slot_inventory.py
+++ b/src/coralfall/balancing/slot_inventory.py
@@ -1,4 +1,4 @@
-"""Holdings: the slots that an entry owns, has borrowed, or has lost with something still out."""
+"""The slots that an entry owns, has borrowed, or has lost while they are still in use."""
 
 import typing as t
 
@@ -10,22 +10,22 @@
 
 
 class SlotInventory:
-    """Slots by target; they say nothing of whether a slot may be used now."""
+    """Slots by target, regardless of whether they may be used now."""
 
     def __init__(self) -> None:
         self.owned_by_target: t.Dict[TargetId, t.Dict[int, Slot]] = {}
         self._borrowed_by_target: t.Dict[TargetId, t.List[Slot]] = {}
-        #: Slots owned no longer on which a request or a loan is still out.
+        #: Slots no longer owned that are still held by a request or lent out.
         self.lost_by_key: t.Dict[SlotKey, Slot] = {}
-        # Worked out when asked for, and forgotten with each change of what is held.
+        # Cache, cleared with each change of the inventory.
         self._by_service: t.Dict[ServiceId, t.List[t.Tuple[Slot, TargetLimit]]] = {}
 
     def target_ids(self) -> t.Iterable[TargetId]:
-        """Targets of which a slot is owned or borrowed."""
+        """Returns the targets with an owned or borrowed slot."""
         return {**self.owned_by_target, **self._borrowed_by_target}
 
     def of_target(self, target_id: TargetId) -> t.List[Slot]:
-        """Slots of a target, the owned ones first."""
+        """Returns the slots of a target, owned ones first."""
         owned = self.owned_by_target.get(target_id)
         borrowed = self._borrowed_by_target.get(target_id)
         return [*(owned.values() if owned else ()), *(borrowed or ())]
@@ -33,7 +33,7 @@
     def of_service(
         self, service: ServiceId, limits: "Limits"
     ) -> "t.List[t.Tuple[Slot, TargetLimit]]":
-        """Slots of a service, free or not, with the limits of their targets."""
+        """Returns the slots of a service, free or not, with the limits of their targets."""
         found = self._by_service.get(service)
         if found is not None:
             return found
@@ -46,21 +46,21 @@
         return found
 
     def clear_service_cache(self) -> None:
-        """Work out anew which slots a service has, after limits have changed."""
+        """Clears the cached slots by service, after limits have changed."""
         self._by_service = {}
 
     def owned_slot(self, target_id: TargetId, index: int) -> t.Optional[Slot]:
-        """An owned slot, or ``None`` if it is not owned."""
+        """Returns an owned slot, or ``None`` if it is not owned."""
         return self.owned_by_target.get(target_id, {}).get(index)
 
     def add_owned(self, slot: Slot) -> None:
-        """Take a slot as owned, lost before or not."""
+        """Adds an owned slot, which may have been lost before."""
         self.lost_by_key.pop(slot.key, None)
         self.owned_by_target.setdefault(slot.target_id, {})[slot.index] = slot
         self._by_service = {}
 
     def remove_owned(self, target_id: TargetId, index: int) -> Slot:
-        """Let go of an owned slot."""
+        """Removes an owned slot."""
         owned = self.owned_by_target[target_id]
         slot = owned.pop(index)
         self._by_service = {}
@@ -69,12 +69,12 @@
         return slot
 
     def add_borrowed(self, slot: Slot) -> None:
-        """Take a slot as borrowed."""
+        """Adds a borrowed slot."""
         self._borrowed_by_target.setdefault(slot.target_id, []).append(slot)
         self._by_service = {}
 
     def remove_borrowed(self, slot: Slot) -> None:
-        """Let go of a borrowed slot."""
+        """Removes a borrowed slot."""
         borrowed = self._borrowed_by_target[slot.target_id]
         borrowed.remove(slot)
         self._by_service = {}
--- a/src/coralfall/balancing/steering.py
+++ b/src/coralfall/balancing/steering.py
@@ -1,4 +1,4 @@
-"""Steering: which target carries one attempt of one request, and until when it may."""
+"""Interface of steering: which target serves one attempt of a request, and until when."""
 
 import abc
 import enum
@@ -11,15 +11,15 @@
 
 
 class AttemptResult(enum.Enum):
-    """What an attempt says of its target, as evidence for health and slots."""
+    """Result of an attempt as evidence about its target, for health and slots."""
 
-    #: The target answered; what it answered is the caller's matter.
+    #: The target answered; the content of the answer does not matter here.
     ANSWERED = "answered"
-    #: The target surely did not run it: not reached, or shed by the target's own word.
+    #: The target certainly did not run it: it was not reached, or it shed the request.
     NOT_RUN = "not-run"
-    #: Bytes left and no whole answer came in time.
+    #: Bytes were sent and no complete answer arrived in time.
     FAILED = "failed"
-    #: The attempt was ended by the entry or the caller and says nothing of the target.
+    #: The entry or the caller cancelled the attempt, which says nothing about the target.
     CANCELLED = "cancelled"
 
 
@@ -30,16 +30,16 @@
     service: ServiceId
     target_id: TargetId
     region: RegionId
-    #: IP number and port of the target.
+    #: IP address and port of the target.
     address: str
-    #: Most connections that this entry may have open to the target; at least 2.
+    #: Maximum number of connections that this entry may have open to the target; at least 2.
     connections: int
 
 
 class Steering(abc.ABC):
-    """Decides where requests go and holds the slots they use.
+    """Decides where requests go and holds the slots that they use.
 
-    Write your own by handing out targets in turn::
+    An implementation that always uses one target::
 
         class OneTarget(Steering):
             async def reserve(self, partner, service, *, tried, deadline, body_bytes):
@@ -61,25 +61,26 @@
         deadline: float,
         body_bytes: int,
     ) -> Reservation:
-        """A slot for one attempt; the caller of this method owes one :meth:`finish`.
+        """Reserves a slot for one attempt, for which the caller must call :meth:`finish`.
 
-        :param tried: targets that earlier attempts of the request used; not taken again.
+        :param tried: targets of earlier attempts of the request, which are not used again.
         :param deadline: monotonic time by which the request must be over.
-        :param body_bytes: length of the request's body, or the most it may be.
-        :raises RefusedError: at once, or after ``defaults.MAX_QUEUE_WAIT_S`` at most.
+        :param body_bytes: length of the request's body, or its upper bound.
+        :raises RefusedError: at once, or after ``defaults.MAX_QUEUE_S`` at most.
         """
 
     @abc.abstractmethod
     def check(self, reservation: Reservation) -> None:
-        """Last check before bytes leave: the lease holds and the slot is still owned.
+        """Checks just before sending that the lease is valid and the slot still owned.
 
         :raises RefusedError: if not; the reservation must still be finished.
         """
 
     def pace(self, reservation: Reservation, size: int) -> float:
-        """Seconds to wait before the next ``size`` bytes of a body are sent; they are counted.
+        """Returns the seconds to wait before sending the next ``size`` bytes of a body.
 
-        Infinite if nothing may be sent now: wait a moment and ask again. By default, none.
+        The bytes count as sent. Infinite if nothing may be sent now: wait a moment and ask again.
+        The default does not limit the rate.
         """
         return 0.0
 
@@ -91,19 +92,19 @@
         seconds: float,
         load: t.Optional[str],
     ) -> None:
-        """Free the slot; called exactly once for each reservation.
+        """Frees the slot; called exactly once for each reservation.
 
         :param seconds: time since the reservation was made.
-        :param load: target's own load report, ``in-flight/slots``, if it sent one.
+        :param load: the target's own load report, ``in-flight/slots``, if it sent one.
         """
 
     @abc.abstractmethod
     def service(self, partner: PartnerId, service: ServiceId) -> t.Optional[Service]:
-        """Rules in force, or ``None`` for an unknown partner or service.
+        """Returns the rules in force, or ``None`` for an unknown partner or service.
 
-        :raises RefusedError: if no bundle of the partner is known to the entry yet.
+        :raises RefusedError: if this entry does not know any bundle of the partner yet.
         """
 
     @abc.abstractmethod
     def version(self, partner: PartnerId) -> BundleVersion:
-        """Version of the bundle in force; 0 if none is."""
+        """Returns the version of the bundle in force; 0 if there is none."""
--- a/src/coralfall/balancing/wait_queue.py
+++ b/src/coralfall/balancing/wait_queue.py
@@ -1,11 +1,11 @@
-"""Waiters: requests of one service that wait for a slot, served in the order in which they came."""
+"""FIFO queue of the requests of one service that wait for a slot."""
 
 import asyncio
 import typing as t
 
 
 class WaitQueue:
-    """The waiting requests, each by an event that is set when its turn to look has come."""
+    """The waiting requests, each with an event that is set when it is its turn to try again."""
 
     def __init__(self) -> None:
         self._events: t.List[asyncio.Event] = []
@@ -14,30 +14,30 @@
         return len(self._events)
 
     def join(self) -> asyncio.Event:
-        """Wait behind all others."""
+        """Adds a request at the end of the queue, and returns its event."""
         event = asyncio.Event()
         self._events.append(event)
         return event
 
     def leave(self, event: asyncio.Event) -> None:
-        """Wait no longer; the next may look."""
+        """Removes a request, and wakes the first of the others."""
         self._events.remove(event)
         self.wake_first()
 
     def wake_first(self) -> None:
-        """Let the oldest look for a slot; when it has one, the next will."""
+        """Wakes the oldest request; when it has a slot, it leaves and wakes the next."""
         if self._events:
             self._events[0].set()
 
     def wake_after(self, event: asyncio.Event) -> None:
-        """Let the one behind ``event`` look."""
+        """Wakes the request behind that of ``event``."""
         place = self._events.index(event) + 1
         if place < len(self._events):
             self._events[place].set()
 
 
 async def wait_for_turn(event: asyncio.Event, seconds: float) -> bool:
-    """Whether it was a waiter's turn within ``seconds``."""
+    """Returns whether a request's event was set within ``seconds``."""
     if event.is_set():
         return True
     try:
--- a/src/coralfall/bundles/line.py
+++ b/src/coralfall/bundles/line.py
@@ -1,7 +1,7 @@
 """A partner's line of versions on the platform: its head, its history, and how it moves on.
 
 A line here is the sequence of one partner's bundle versions; the line of planned shares is
-:mod:`coralfall.balancing.shift_cap`. A version number is staged once only: its history row must be
+:mod:`coralfall.balancing.shift`. A version number is staged once only: its history row must be
 absent and
 is written with the head. So a version stands for one digest wherever it is named. A staged
 bundle is never taken back; the next version replaces it, which entries that hold it take as any
--- a/tests/balancing/test_handover.py
+++ b/tests/balancing/test_handover.py
@@ -81,7 +81,7 @@
         """Slots that ``a`` owns beside the named ones."""
         alone = Entry(self.entry.limits)
         alone.rows(put("a", 1), *(put(name, 1 + number) for number, name in enumerate(names)))
-        return sum(len(owned) for owned in alone.slots._holdings.owned_by_target.values())
+        return sum(len(owned) for owned in alone.slots._inventory.owned_by_target.values())
 
     @parameterized.expand(
         [
@@ -186,7 +186,7 @@
         for _ in range(4):
             owners = entry.slots.slots_by_owner(ServiceId("pedidos"), ())
             found.append(sum(owners.values()))
-        own = sum(len(owned) for owned in entry.slots._holdings.owned_by_target.values())
+        own = sum(len(owned) for owned in entry.slots._inventory.owned_by_target.values())
         self.assertTrue(0 < found[0] < found[1] < found[2])
         self.assertEqual(found[2:], [30 * 6 - own] * 2)
 
--- a/tests/balancing/test_health.py
+++ b/tests/balancing/test_health.py
@@ -10,7 +10,7 @@
 from coralfall.ids import RegionId, TargetId
 
 from .test_routing import make_target
-from .test_shift_cap import A, B
+from .test_shift import A, B
 
 SLOTS = 6
 RAMP_S = 30.0
--- a/tests/balancing/test_routing.py
+++ b/tests/balancing/test_routing.py
@@ -10,12 +10,12 @@
 
 from coralfall.balancing.health import ServiceHealth
 from coralfall.balancing.routing import REFRESH_S, Candidate, Router, policy_for
-from coralfall.balancing.shift_cap import ShiftLimiter
+from coralfall.balancing.shift import ShiftLimiter
 from coralfall.bundles.bundle import Target
 from coralfall.exceptions import RefusedError
 from coralfall.ids import PolicyName, RegionId, TargetId, ZoneId
 
-from .test_shift_cap import CATALOGO, A, B, make_service
+from .test_shift import CATALOGO, A, B, make_service
 
 
 def make_candidate(name: str, region: RegionId = A, **fields: t.Any) -> Candidate:
--- a/tests/balancing/test_shift_cap.py
+++ b/tests/balancing/test_shift.py
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from coralfall import defaults
-from coralfall.balancing.shift_cap import COUNT_SLACK, ShiftLimiter
+from coralfall.balancing.shift import COUNT_SLACK, ShiftLimiter
 from coralfall.balancing.shift_plan import moved_share, planned_shares, split_cap
 from coralfall.bundles.bundle import Bundle, Head, Service
 from coralfall.ids import BundleVersion, PartnerId, PolicyName, RegionId, ServiceId
--- a/tests/balancing/test_shift_history.py
+++ b/tests/balancing/test_shift_history.py
@@ -9,7 +9,7 @@
 from parameterized import parameterized
 
 from coralfall import defaults
-from coralfall.balancing.shift_cap import COUNT_SLACK, MAX_OVERDRAFT, ShiftLimiter
+from coralfall.balancing.shift import COUNT_SLACK, MAX_OVERDRAFT, ShiftLimiter
 from coralfall.balancing.shift_plan import (
     Shares,
     moved_share,
@@ -19,7 +19,7 @@
 from coralfall.bundles.bundle import Head, Service
 from coralfall.ids import RegionId
 
-from .test_shift_cap import CATALOGO, A, B, C, make_bundle, make_head, make_service
+from .test_shift import CATALOGO, A, B, C, make_bundle, make_head, make_service
 
 REGIONS = (A, B, C)
 WINDOW_S = 5.0
