--- a/src/coralfall/__init__.py
+++ b/src/coralfall/__init__.py
@@ -1,7 +1,7 @@
 """Global traffic steering for partners who share VMs and target capacity.
 
-Names that users of the package write their own classes with are found here; they are imported
-when first asked for, so that an entry holds only what it needs.
+Exports the names that custom extensions are written with. They are imported on first access, so
+that a process loads only the modules that it uses.
 """
 
 import importlib
--- a/src/coralfall/__main__.py
+++ b/src/coralfall/__main__.py
@@ -1,14 +1,14 @@
-"""``python -m coralfall``: the command line.
+"""Entry point of ``python -m coralfall``: runs the command line.
 
-An entry on the platform is started without typer, which would take a tenth of a second of a start
-that callers wait for; ``coralfall steer`` does the same and takes options.
+``steer`` without options is run without importing typer. The import takes 0.1 s, by which callers
+would have to wait longer for an entry that starts.
 """
 
 import sys
 
 
 def main() -> None:
-    """Run the command line."""
+    """Runs the command line."""
     if sys.argv[1:] == ["steer"]:
         from .process.signals import early
 
--- a/src/coralfall/cli.py
+++ b/src/coralfall/cli.py
@@ -1,4 +1,4 @@
-"""The command line; each command imports what it needs when it runs."""
+"""Command line. Each command imports its modules when it runs, to keep processes small."""
 
 import pathlib
 import sys
@@ -8,7 +8,7 @@
 
 from .exceptions import CoralfallError, Fault, InputError
 
-#: Exit codes: refused or failed, and bad input.
+#: Exit codes: the command failed, and its input is invalid.
 EXIT_FAILED = 1
 EXIT_INPUT = 2
 
@@ -18,22 +18,24 @@
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
-    # Rendering help by rich would keep 10 MB of it in every entry.
+    # Rendering help with rich would keep 10 MB of its modules in the memory of every entry.
     rich_markup_mode=None,
 )
 standin_app = typer.Typer(
-    help="Stand-ins of the platform and of targets.", no_args_is_help=True, rich_markup_mode=None
+    help="Run stand-ins for the platform and for targets.",
+    no_args_is_help=True,
+    rich_markup_mode=None,
 )
 app.add_typer(standin_app, name="standin")
 
 SettingsFile = t.Annotated[
-    pathlib.Path, typer.Option("--settings", help="TOML file with the process's settings.")
+    pathlib.Path, typer.Option("--settings", help="Settings file of the process, in TOML.")
 ]
 
 
 @app.command()
 def entry(settings: SettingsFile) -> None:
-    """Run the process of an entry VM."""
+    """Run an entry process on an entry VM."""
     from .cluster.entry import run_entry
     from .settings import EntrySettings, load_settings
 
@@ -44,13 +46,14 @@
 def steer(
     settings: t.Annotated[
         t.Optional[pathlib.Path],
-        typer.Option(help="TOML file with the process's settings; by default the platform's."),
+        typer.Option(help="Settings file, in TOML; by default the one that the platform provides."),
     ] = None,
     check: t.Annotated[
-        bool, typer.Option("--check", help="Tell whether the settings are good, and start nothing.")
+        bool,
+        typer.Option("--check", help="Validate the settings and exit without starting the entry."),
     ] = False,
 ) -> None:
-    """Run the process of an entry on the users' platform."""
+    """Run an entry process on the users' platform."""
     from .platform.run import check_settings, run_steer
 
     if check:
@@ -65,45 +68,48 @@
         t.Optional[t.List[str]],
         typer.Argument(
             metavar="[ID] [FILE]...",
-            help="The request's id, as its caller sent it (not with --lost or --entries), and files"
-            " with the entries' log lines; standard input without any.",
+            help="Id of the request, as sent by its caller (not with --lost or --entries), and log"
+            " files of the entries; without files, standard input is read.",
         ),
     ] = None,
     lost: t.Annotated[
-        bool, typer.Option("--lost", help="Split all requests that were not in aim by cause.")
+        bool,
+        typer.Option(
+            "--lost", help="Count requests that failed or were late or rejected, by cause."
+        ),
     ] = False,
     entries: t.Annotated[
-        bool, typer.Option("--entries", help="Tell which entries differ from all others.")
+        bool, typer.Option("--entries", help="List entries whose results deviate from all others.")
     ] = False,
 ) -> None:
-    """Tell from log lines what became of a request, and why."""
-    from .reporting.explain import explain as story_of
+    """Explain from log lines what happened to a request, and why."""
+    from .reporting.explain import explain as explain_request
     from .reporting.lost import lost_lines, lost_of
     from .reporting.outliers import entries_of, outlier_lines
 
     files = list(words or ())
-    of_all = lost or entries
-    if not of_all and not files:
-        remedy = "name its id, or --lost, or --entries"
-        raise InputError("no request is named", [Fault("ID", "missing", remedy)])
-    request_id = "" if of_all else files.pop(0)
-    lines = _lines_of(files)
+    has_no_id = lost or entries
+    if not has_no_id and not files:
+        remedy = "give the request's id, --lost or --entries"
+        raise InputError("no request id given", [Fault("ID", "missing", remedy)])
+    request_id = "" if has_no_id else files.pop(0)
+    lines = _read_lines(files)
     if entries:
         print("\n".join(outlier_lines(entries_of(lines))))
     elif lost:
         print("\n".join(lost_lines(lost_of(lines))))
     else:
-        print(story_of(request_id, lines))
+        print(explain_request(request_id, lines))
 
 
-def _lines_of(files: t.Sequence[str]) -> t.Iterator[str]:
-    """Lines of files, one at a time: those of a large fleet are more than memory holds."""
+def _read_lines(files: t.Sequence[str]) -> t.Iterator[str]:
+    """Yields lines of files one at a time, since logs of a large fleet do not fit into memory."""
     for name in files:
         try:
             with open(name, errors="replace") as file:
                 yield from file
         except OSError as error:
-            fault = Fault(name, "unreadable", "name a file that can be read")
+            fault = Fault(name, "unreadable", "give a file that can be read")
             raise InputError(f"{name} can't be read: {error.strerror}", [fault]) from error
     if not files:
         yield from sys.stdin
@@ -111,7 +117,7 @@
 
 @standin_app.command("platform")
 def standin_platform(settings: SettingsFile) -> None:
-    """Run a stand-in of the platform: table, object store and VM list."""
+    """Run a stand-in for the platform: table, object store and VM list."""
     from .settings import PlatformStandinSettings, load_settings
     from .standins.standin import run_platform
 
@@ -120,7 +126,7 @@
 
 @standin_app.command("target")
 def standin_target(settings: SettingsFile) -> None:
-    """Run a stand-in of one target."""
+    """Run a stand-in for one target."""
     from .settings import TargetStandinSettings, load_settings
     from .standins.standin import run_target
 
@@ -130,16 +136,16 @@
 @app.command()
 def dev(
     seconds: t.Annotated[
-        t.Optional[float], typer.Option(help="Stop after this long; without it, on Ctrl-C.")
+        t.Optional[float], typer.Option(help="Stop after this many seconds; by default on Ctrl-C.")
     ] = None,
 ) -> None:
-    """Run platform, targets, entries and callers in one process, on loopback."""
+    """Run the platform, targets, entries and callers in one process, on loopback."""
     from .standins.dev import run_dev
 
     raise typer.Exit(run_dev(seconds))
 
 
-def _mount() -> None:
+def _add_operator_commands() -> None:
     from .bundles.bundle_cli import app as bundle_app
     from .bundles.keys_cli import app as keys_app
     from .reporting.report_cli import lookup, report
@@ -153,9 +159,9 @@
 
 
 def main() -> None:
-    """Run the command line; errors are one line on standard error."""
+    """Runs the command line; prints errors as one line on standard error."""
     if len(sys.argv) > 1 and sys.argv[1] not in ("entry", "standin", "dev"):
-        _mount()
+        _add_operator_commands()
     try:
         app()
     except InputError as error:
--- a/src/coralfall/defaults.py
+++ b/src/coralfall/defaults.py
@@ -1,351 +1,372 @@
-"""Constants that operators rarely change; settings and bundles override some of them."""
+"""Default values, limits and header names used throughout the package.
 
-#: Version of the messages between entries; entries of different versions do not talk.
+Settings and bundles override some of them. Times are in seconds and sizes in bytes, as the suffix
+of each name says.
+"""
+
+#: Version of the protocol between entries; entries with different versions reject each other.
 PEER_PROTOCOL = 3
 #: Version of the bundle format.
 BUNDLE_FORMAT = 1
 
-#: Seconds for which a lease counts after the renewal was sent.
+#: Lifetime of a lease, counted from when its renewal was sent.
 LEASE_TTL_S = 6.0
-#: Seconds between renewals of a lease.
+#: Time between renewals of a lease.
 LEASE_RENEW_INTERVAL_S = 2.0
-#: Seconds between two reads of the table's changes.
+#: Time between two reads of the table's changes.
 TABLE_POLL_INTERVAL_S = 1.0
-#: Seconds between two reads of the platform's VM list by the coordinator.
+#: Time between two reads of the platform's VM list by the coordinator.
 VM_LIST_POLL_INTERVAL_S = 10.0
-#: Seconds between two rounds of peer heartbeats.
+#: Time between two rounds of peer heartbeats.
 HEARTBEAT_INTERVAL_S = 1.0
-#: How many peers an entry sends a heartbeat to in one round.
+#: Number of peers that an entry sends a heartbeat to in one round.
 HEARTBEAT_FANOUT = 3
-#: How many of them are of another region.
+#: Number of these peers that are in another region.
 HEARTBEAT_REMOTE_FANOUT = 1
-#: Rounds for which an entry keeps a peer that it exchanges heartbeats with.
+#: Number of rounds for which an entry keeps exchanging heartbeats with the same peer.
 NEIGHBOUR_ROUNDS = 30
-#: Seconds without an answer of the platform after which a roster is taken from a peer.
+#: Time without an answer from the platform after which the roster is taken from a peer.
 PEER_ROSTER_FALLBACK_S = 3.0
-#: Seconds a call to the platform may take.
+#: Timeout of a call to the platform.
 PLATFORM_TIMEOUT_S = 2.0
-#: Most connections that a process keeps to the platform.
+#: Maximum number of connections from a process to the platform.
 PLATFORM_CONNECTIONS = 8
-#: Largest body of a call to the platform or of its answer, in bytes.
+#: Maximum size of the body of a call to the platform or of its answer.
 MAX_PLATFORM_BODY_BYTES = 8 * 1024 * 1024
 
-#: Largest frame between entries, in bytes.
+#: Maximum size of a frame between entries.
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-#: Bytes that may wait to be sent to a peer before the sender has to wait.
+#: Bytes that may be buffered for a peer before the sender has to wait.
 PEER_WRITE_BUFFER_BYTES = 64 * 1024
-#: Seconds in which a peer must have proved itself.
+#: Time within which a peer must have authenticated itself.
 PEER_HANDSHAKE_TIMEOUT_S = 3.0
-#: Seconds in which a peer must take a message.
+#: Time within which a peer must accept a message.
 PEER_SEND_TIMEOUT_S = 5.0
-#: Seconds within which a peer must answer a heartbeat or a request for heads.
+#: Time within which a peer must answer a heartbeat or a request for bundle heads.
 PEER_TIMEOUT_S = 2.0
-#: Seconds within which a peer must have sent an object.
+#: Time within which a peer must have sent an object.
 PEER_OBJECT_TIMEOUT_S = 5.0
-#: Seconds within which a peer must answer a request for a loan.
+#: Time within which a peer must answer a request for a loan.
 PEER_LOAN_TIMEOUT_S = 0.5
-#: Seconds without a message after which a stream that a peer opened is closed.
+#: Idle time after which a stream that a peer opened is closed.
 PEER_IDLE_S = 60.0
-#: Seconds after a request for a loan for which all neighbours are asked in each round.
+#: Time after a loan request during which every round sends a heartbeat to all neighbours.
 PEER_BORROWING_S = 5.0
-#: Seconds for which a peer that failed is not chosen for heartbeats.
+#: Time for which a peer that failed is not chosen for heartbeats.
 PEER_COOLDOWN_S = 10.0
-#: Most streams that an entry keeps open to others, and that others may keep open to it.
+#: Maximum number of streams that an entry keeps open to others, and that it accepts from others.
 MAX_PEER_LINKS = 32
 MAX_PEER_CONNECTIONS = 640
-#: Most connections whose other side has not proved itself yet.
+#: Maximum number of connections whose peer has not authenticated itself yet.
 MAX_PEER_HANDSHAKES = 32
-#: Most peers that are asked for an object, one after the other.
+#: Maximum number of peers that are asked for an object, one after the other.
 MAX_OBJECT_PEERS = 8
-#: Most seeds whose heads and roster are taken at the start.
+#: Maximum number of seeds whose bundle heads and roster are fetched at the start.
 MAX_BOOTSTRAP_PEERS = 3
-#: Largest head of a caller's request, in bytes.
+#: Maximum size of the head (request line and headers) of a caller's request.
 MAX_HEADER_BYTES = 16 * 1024
-#: Seconds in which a caller must have sent the head of its request.
+#: Time within which a caller must have sent the head of its request.
 HEADER_TIMEOUT_S = 5.0
-#: Seconds for which an idle connection of a caller is kept; clients commonly keep theirs for 15.
+#: Idle timeout of a caller's connection; clients commonly keep theirs open for 15 s.
 CALLER_IDLE_TIMEOUT_S = 20.0
-#: Seconds for which a server that stops still answers what comes on an idle connection.
+#: Time for which a stopping server still answers requests on idle connections.
 SHUTDOWN_IDLE_TIMEOUT_S = 1.0
-#: Connections that one server of an entry takes, and how many of them may be idle.
+#: Maximum number of connections to one server of an entry, and how many of them may be idle.
 MAX_CONNECTIONS = 1000
 MAX_IDLE_CONNECTIONS = 500
-#: Requests of one connection that may wait behind the one being answered.
+#: Number of pipelined requests that may wait behind the one being answered.
 MAX_PIPELINED = 8
-#: Largest answer that is read whole before its first byte goes to the caller.
+#: Maximum size of an answer that is read whole before its first byte goes to the caller.
 MAX_BUFFERED_ANSWER_BYTES = 256 * 1024
-#: Largest body of a request that is held, so that another target can be given it.
+#: Maximum size of a request body that is buffered so that it can be sent to another target.
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
-#: Bytes of bodies and answers that an entry holds at one time, of all requests together.
+#: Maximum memory for buffered bodies and answers of all requests of an entry.
 MAX_BUFFERED_BYTES = 16 * 1024 * 1024
-#: Longest idempotency key, in bytes.
+#: Maximum length of an idempotency key.
 MAX_KEY_BYTES = 255
-#: Most targets that one request is given to.
+#: Maximum number of targets that one request is sent to.
 MAX_ATTEMPTS = 3
-#: Seconds in which a connection to a target must be open.
+#: Timeout for opening a connection to a target.
 CONNECT_TIMEOUT_S = 1.0
-#: Seconds for which an idle connection to a target is kept; targets commonly keep theirs for 5.
+#: Idle timeout of a connection to a target; targets commonly keep theirs open for 5 s.
 CONNECTION_IDLE_TIMEOUT_S = 3.0
-#: Buffer of one connection to a target in each direction, in bytes.
+#: Buffer of one connection to a target in each direction.
 CONNECTION_BUFFER_BYTES = 64 * 1024
-#: Seconds after which a caller may retry what no one else names a time for.
+#: Retry-After that callers are given where nothing more specific is known.
 RETRY_AFTER_S = 1.0
-#: Largest answer kept with an idempotency key.
+#: Maximum size of an answer that is stored with an idempotency key.
 MAX_STORED_ANSWER_BYTES = 16 * 1024
-#: Longest time a command waits for its claim, in seconds; then it is refused.
+#: Time that a command waits for its claim before it is rejected.
 CLAIM_TIMEOUT_S = 1.0
-#: Least time between two transactions with claims of one entry, in seconds.
+#: Minimum time between two claim transactions of one entry.
 CLAIM_MIN_INTERVAL_S = 0.03
-#: Transactions with claims that all entries together may send to the table in a second.
+#: Maximum rate of claim transactions to the table, over all entries together.
 CLAIM_WRITES_PER_S = 300
-#: Longest time an answer to a command waits for company before it is written, in seconds.
+#: Maximum time for which the answer to a command waits to be written in a batch with others.
 CLAIM_BATCH_DELAY_S = 0.1
-#: Pauses between tries while the table can't be written, in seconds.
+#: Backoff between attempts to write to a table that is unavailable, first and longest.
 CLAIM_BACKOFF_MIN_S = 0.1
 CLAIM_BACKOFF_MAX_S = 2.0
-#: Most rows, and most bytes of answers, in one transaction with claims.
+#: Maximum number of rows, and of bytes of answers, in one claim transaction.
 CLAIM_BATCH_ROWS = 256
 CLAIM_BATCH_BYTES = 1024 * 1024
-#: Most keys that an entry has open or still to write.
+#: Maximum number of keys of an entry that are in use or still have to be written.
 MAX_OPEN_CLAIMS = 4096
-#: Most bytes of answers that wait to be kept; beyond it answers are kept without their body.
+#: Maximum size of the answers that wait to be stored; beyond it they are stored without a body.
 MAX_PENDING_ANSWER_BYTES = 4 * 1024 * 1024
-#: Seconds that a stopping entry tries to write what became of its commands.
+#: Time for which a stopping entry tries to write the outcomes of its commands.
 CLAIM_FLUSH_TIMEOUT_S = 5.0
-#: Seconds for which the row of an idempotency key is kept after it was last written.
+#: Time for which the row of an idempotency key is kept after its last write.
 CLAIM_RETENTION_S = 24 * 3600.0
-#: Most claim rows that one round of removal reads.
+#: Maximum number of claim rows that are read in one round of removing expired ones.
 CLAIM_SWEEP_ROWS = 500
 
-#: Seconds for which a lent slot may be used.
+#: Lifetime of a loan: the time for which a lent slot may be used.
 LOAN_TTL_S = 2.0
-#: Shortest loan worth granting, in seconds.
+#: Minimum lifetime of a loan; shorter ones are not granted.
 MIN_LOAN_TTL_S = 0.2
-#: Seconds after which a borrowed slot that was not used goes back.
+#: Time after which a borrowed slot that was not used is returned.
 LOAN_IDLE_TIMEOUT_S = 0.5
-#: Most requests for loans of one service that an entry has out at a time.
+#: Maximum number of concurrent loan requests of an entry for one service.
 MAX_LOAN_REQUESTS = 4
-#: Seconds for which an owner that had nothing to lend is not asked again, at first and at most.
+#: Backoff before an owner that had nothing to lend is asked again, first and longest.
 LOAN_BACKOFF_S = 0.03
 MAX_LOAN_BACKOFF_S = 0.24
-#: Seconds for which a slot rests after an attempt that was ended without an answer.
+#: Time for which a slot stays unused after an attempt that was cancelled without an answer.
 SLOT_CANCEL_COOLDOWN_S = 0.25
-#: Added, in seconds, wherever one entry waits for another's requests to be over: time on the
-#: way to the target and back, and clocks that do not run quite alike.
+#: Margin wherever one entry waits for another's requests to end. It covers the network time to
+#: the target and back, and differences in clock rate.
 HANDOVER_MARGIN_S = 0.5
-#: Seconds of a link's rate that an entry may send at once.
+#: Burst of a link's token bucket, as seconds of its rate.
 LINK_BURST_S = 0.1
-#: Longest time a request waits for a slot, in seconds; then it is refused at once.
+#: Maximum time that a request waits for a slot before it is rejected.
 MAX_QUEUE_WAIT_S = 0.05
-#: Share of requests that may be retries, and the burst kept for quiet times.
+#: Retry budget: retries as a fraction of requests, and the burst allowed while there are few.
 RETRY_RATIO = 0.1
 RETRY_BURST = 10
-#: Failures in a row after which a target is suspected, and after which it is held dead even
-#: while the suspicion of most targets of its region is doubted.
+#: Consecutive failures after which a target is suspected, and after which it is considered dead
+#: even if most targets of its region are suspected and these suspicions are therefore doubted.
 SUSPECT_FAILURES = 3
 DEAD_FAILURES = 5
-#: Failures in a row in a region, of whichever targets, after which the region is lost.
+#: Consecutive failures in a region, of whichever targets, after which the region is considered
+#: lost.
 REGION_DEAD_FAILURES = 10
-#: Seconds between a target's failure and the next single request to it, first and longest.
+#: Backoff between a target's failure and the next probe request to it, first and longest.
 PROBE_BACKOFF_S = 0.25
 PROBE_BACKOFF_MAX_S = 5.0
-#: Seconds for which a target's own word that it is unwell counts.
+#: Time for which a target's own report that it is unhealthy is valid.
 UNHEALTHY_REPORT_TTL_S = 5.0
-#: Seconds after which half of a target's load report is replaced by the entry's own knowledge.
+#: Half-life of a target's load report: the time after which the entry's own count has half the
+#: weight.
 REPORT_HALF_LIFE_S = 0.5
-#: Bound on how far apart two entries' estimates of the platform's time are, in seconds.
+#: Maximum difference between two entries' estimates of the platform's time.
 MAX_CLOCK_SKEW_S = 1.0
 
-#: Look-up answers may be cached this long, in seconds; a leaving entry serves for longer.
+#: Time for which look-up answers may be cached; a leaving entry serves for longer than that.
 LOOKUP_TTL_S = 5.0
-#: Most entries that a look-up names.
+#: Maximum number of entries in a look-up answer.
 MAX_LOOKUP_ENTRIES = 4
-#: Seconds for which an entry or target that is asked to stop may finish its requests.
+#: Time that an entry or target has to finish its requests when it is told to stop.
 GRACE_S = 30.0
-#: A child that fails more often than this within the window ends its supervisor.
+#: Number of failures of a child within the window that its supervisor tolerates; with one more the
+#: supervisor ends.
 MAX_CHILD_FAILURES = 5
 CHILD_FAILURE_WINDOW_S = 60.0
-#: Seconds before the first restart of a failed child, doubled each time up to the longest.
+#: Backoff before the first restart of a failed child; doubled for each further one up to the
+#: maximum.
 RESTART_BACKOFF_S = 0.1
 MAX_RESTART_BACKOFF_S = 10.0
 
 HEADER_DEADLINE = "coralfall-deadline-ms"
 HEADER_KEY = "idempotency-key"
 HEADER_OUTCOME = "coralfall-outcome"
-#: Answer header beside Retry-After, which has whole seconds only.
+#: Answer header that complements Retry-After, which has whole seconds only.
 HEADER_RETRY_AFTER_MS = "coralfall-retry-after-ms"
 HEADER_VERSION = "coralfall-version"
-#: Request header towards targets: milliseconds left.
+#: Request header to targets: milliseconds left until the deadline.
 HEADER_TARGET_DEADLINE = "deadline-ms"
-#: Request header towards targets: Unix time in milliseconds after which it must not be run.
+#: Request header to targets: Unix time in milliseconds after which the request must not be run.
 HEADER_TARGET_DEADLINE_AT = "deadline-at-ms"
-#: Answer header of targets: ``not-run`` if the target shed the request unseen.
+#: Answer header of targets: ``not-run`` if the target shed the request without running it.
 HEADER_TARGET_OUTCOME = "outcome"
 #: Answer header of targets: ``in-flight/slots``.
 HEADER_TARGET_LOAD = "load"
 
-#: Seconds that a call to the platform's store may take, beside what it was asked to wait.
+#: Timeout of a call to the platform's store, on top of the wait that the call asks for.
 STORE_TIMEOUT_S = 1.0
-#: Seconds that the store may take on a connection that was used before, beside what it was asked
-#: to wait; then the call is made again on a new one.
+#: The same on a reused connection; after it the call is repeated on a new connection.
 STORE_REUSED_TIMEOUT_S = 0.5
-#: The users' bound, in seconds, that the next four constants are made for.
+#: Bound on the propagation time that the next four constants are made for. For a tighter bound
+#: they are scaled down.
 PACE_REFERENCE_BOUND_S = 2.0
-#: Seconds between two reads of the store by the entry that reads for all.
+#: Time between two reads of the store by the entry that reads on behalf of all.
 STORE_READ_INTERVAL_S = 0.5
-#: Age in seconds at which the first other entry reads for itself, what each next one adds to it,
-#: and the most that is added.
+#: Age of the rows at which the next entry in rank reads the store itself, what each further rank
+#: adds to it, and the maximum that is added.
 STORE_READ_STALE_S = 0.85
 STORE_READ_RANK_DELAY_S = 0.12
 MAX_STORE_READ_RANK_DELAY_S = 0.4
-#: How many entries, the first in rank, hand on what they read to all others: more than the store
-#: may turn away at one time of a dozen, few enough to be no storm on a large installation.
+#: Number of entries, the first in rank, that push what they read to all others. It is more than
+#: the store may reject at one time out of a dozen, and small enough not to flood a large
+#: installation.
 BROADCAST_RANKS = 8
-#: Seconds after an outage of the store for which targets that are missing are still used.
+#: Time after an outage of the store for which targets whose rows are missing are still used.
 MISSING_TARGET_GRACE_S = 2.2
-#: Seconds without an answer of the store that count as an outage.
+#: Time without an answer of the store that counts as an outage.
 STORE_OUTAGE_S = 1.5
-#: Seconds between two rounds of gossip, and how many entries are asked in one.
+#: Time between two rounds of gossip, and the number of entries that are asked in one.
 GOSSIP_INTERVAL_S = 0.4
 GOSSIP_FANOUT = 2
-#: Seconds between two rounds of an entry that starts and knows no rows yet.
+#: Time between two rounds of gossip of a starting entry that has no rows yet.
 GOSSIP_BOOTSTRAP_INTERVAL_S = 0.1
-#: Seconds for which an entry waits for the rows that its seeds read before it reads the store, when
-#: the whole installation starts for the first time and no caller waits yet. Any other start asks
-#: both at once, as callers wait for entries that were killed.
+#: Time that an entry waits for rows from its seeds before it reads the store, when the whole
+#: installation starts for the first time and no caller is waiting yet. At any other start an entry
+#: asks both at once, since callers wait for entries that were killed.
 FIRST_START_SEED_WAIT_S = 2.0
-#: How many entries one asks in turn, so that streams to them are used again.
+#: Number of entries that one entry gossips with in rotation, so that their streams are reused.
 GOSSIP_NEIGHBOURS = 12
-#: Most records and suspicions that are news in one message, and seconds for which they are news.
-#: What does not fit is found by the sum, so that many changes at once do not make messages long.
-#: Too few suspicions in one would hold up the news of a zone that is lost for many seconds.
+#: Maximum number of entry records and of suspicions in one message, and how long a change is
+#: included in messages. Changes that do not fit are found by comparing checksums, so that many
+#: changes at once do not make messages long. With too few suspicions per message the loss of a
+#: zone would take many seconds to spread.
 MAX_GOSSIP_RECORDS = 8
 MAX_GOSSIP_SUSPICIONS = 64
 GOSSIP_UPDATE_TTL_S = 3.0
-#: Pushes of news of entries that one entry may receive in a second, of all others together.
+#: Maximum rate of pushed membership updates to one entry, from all others together.
 MEMBER_PUSHES_PER_S = 5.0
-#: Most suspected requests that are news in one message, and most that an entry remembers. A mass
-#: failure takes along many that come once; what matters is told first.
+#: Maximum number of suspect requests in one message; the limit on how many an entry remembers
+#: follows below. A mass failure makes many requests suspect that come only once; the most
+#: suspected ones are sent first.
 MAX_GOSSIP_SUSPECT_REQUESTS = 24
-#: Most limits of targets that are news in one message.
+#: Maximum number of target limits in one message.
 MAX_GOSSIP_LIMITS = 64
-#: Most departures of targets that are news in one message.
+#: Maximum number of target departures in one message.
 MAX_GOSSIP_DEPARTURES = 64
 MAX_SUSPECT_REQUESTS = 1024
-#: Targets that must have ended with a request in hand until it is sent to no more of them, if
-#: nobody else was in hand at as many; and if somebody was. The users allow it to reach targets
-#: three times more once three ended of it and the entries had time to tell each other.
+#: Number of targets that must have crashed with a request in flight before it is quarantined: if no
+#: other request was in flight at as many crashes, and if one was. By the users' rule a request may
+#: reach three more targets once it has crashed three and the entries had time to tell each other.
 QUARANTINE_CRASHES = 3
 QUARANTINE_AMBIGUOUS_CRASHES = 5
-#: Seconds after the last crash from which on a refused request is sent once more, on trial.
+#: Time after the last crash from which on a quarantined request is sent once more, on trial.
 QUARANTINE_TRY_S = 60.0
-#: Seconds for which a suspected request is remembered once it comes no more, and after which the
-#: caller of one that is refused may ask whether it still is: sooner, so that it stays refused.
+#: Time for which a suspect request is remembered after it last came, and the Retry-After of a
+#: quarantined one. The latter is shorter, so that a request that is retried stays quarantined.
 QUARANTINE_S = 600.0
 QUARANTINE_RETRY_AFTER_S = 300.0
-#: Seconds for which two entries know different things before one asks the other for everything.
+#: Time for which two entries' checksums differ before one asks the other for its full state.
 GOSSIP_FULL_SYNC_DELAY_S = 0.8
-#: Seconds after which a suspected entry that did not refute it is held dead, in a fleet of
-#: ``SUSPICION_ENTRIES``, and the part of that which each fourfold fleet adds: news take rounds.
+#: SWIM suspicion timeout: time after which a suspected entry that did not refute the suspicion is
+#: considered dead in a fleet of ``SUSPICION_ENTRIES``. Each time the fleet is four times larger,
+#: ``SUSPICION_GROWTH`` of it is added, since updates take rounds to spread.
 SUSPICION_TIMEOUT_S = 1.5
 SUSPICION_ENTRIES = 12
 SUSPICION_GROWTH = 0.5
-#: How many more entries are asked in a round while others are suspected, at the most.
+#: Maximum number of additional entries that are probed in a round while others are suspected.
 MAX_EXTRA_PROBES = 2
-#: How many of all entries ask a suspect in a round, and how many suspects one entry asks.
+#: Number of entries out of all that probe a suspect in a round, and the maximum number of suspects
+#: that one entry probes.
 SUSPECT_PROBERS = 3
 MAX_SUSPECT_PROBES = 2
-#: Questions in a row without an answer after which one entry suspects another.
+#: Consecutive probes without an answer after which an entry suspects another.
 SUSPECT_MISSED_PROBES = 2
-#: Multiple of a round after which this process is so late itself that it suspects nobody.
+#: Length of a gossip round, as a multiple of the interval, beyond which this process is itself too
+#: late to suspect others.
 BUSY_ROUND_FACTOR = 1.5
-#: Seconds without a word after which a dead entry is forgotten.
+#: Time without a message after which a dead entry is forgotten.
 DEAD_ENTRY_RETENTION_S = 120.0
-#: Seconds between two comparisons of the entries with their rows, longer than entries remember each
-#: other, and most rows that one writes: the store takes a hundred entries in one transaction, and
-#: each row needs two.
+#: Time between two reconciliations of the entries with their rows, and the maximum number of rows
+#: that one writes. The time is longer than dead entries are remembered; the store takes a hundred
+#: items in one transaction, and each row needs two.
 RECONCILE_INTERVAL_S = 150.0
 MAX_RECONCILE_ROWS = 50
-#: How many entries one entry hands a change on to.
+#: Number of entries that one entry relays an update to.
 RELAY_FANOUT = 8
-#: Seconds for which the same entries hand on what one pushes.
+#: Time after which an entry chooses other entries to relay its updates.
 RELAY_ROTATION_S = 30.0
-#: Seconds that an exchange between entries may take.
+#: Timeout of an exchange between entries.
 GOSSIP_TIMEOUT_S = 0.8
-#: Seconds that an answer may take on a stream that was open before the same is asked on a new one.
+#: Timeout of an exchange on a reused stream; after it the exchange is repeated on a new one.
 GOSSIP_REUSED_TIMEOUT_S = 0.3
-#: One entry of so many of its region counts for tenants' limits. Every entry lends to all that
-#: count in its region, so more of them cost messages; few can't bear the questions of all.
+#: Number of entries of a region per quota owner, an entry that counts tenants' requests. Every
+#: entry lends to all owners of its region, so more of them cost messages; too few can't bear the
+#: load of all requests for tokens.
 QUOTA_ENTRIES_PER_OWNER = 16
-#: Seconds for which a share is lent in a fleet of up to ``QUOTA_BASE_ENTRIES``, longer in larger
-#: ones in proportion so that an owner is told as often; an owner that is lost takes along what was
-#: lent to it for so long. And the part of it after which a lease is renewed.
+#: Lifetime of a lease on a share of a quota in a fleet of up to ``QUOTA_BASE_ENTRIES``. In larger
+#: fleets it grows in proportion, so that an owner gets as many messages; an owner that fails takes
+#: along what was leased to it for that long. Then the fraction of it after which a lease is
+#: renewed.
 QUOTA_LEASE_S = 2.0
 QUOTA_BASE_ENTRIES = 100
 QUOTA_RENEW_FRACTION = 0.25
-#: Seconds between two looks at what has to be renewed.
+#: Time between two checks for leases that have to be renewed.
 QUOTA_RENEW_INTERVAL_S = 0.1
-#: Seconds after which a second owner is asked beside the first, those that an owner's answer may
-#: take, and those that a request waits for leave at the most.
+#: Time after which a second owner is asked as a hedge, the timeout of an owner's answer, and the
+#: maximum time that a request waits for a permit.
 QUOTA_HEDGE_DELAY_S = 0.1
 QUOTA_TIMEOUT_S = 0.6
 QUOTA_WAIT_TIMEOUT_S = 0.9
-#: Seconds after which an owner that gave no answer is asked again.
+#: Time for which an owner that did not answer is not asked again.
 QUOTA_OWNER_COOLDOWN_S = 1.0
-#: Longest time, in seconds, for which an entry turns away a tenant's requests without asking again.
+#: Maximum time for which an entry rejects a tenant's requests without asking an owner again.
 MAX_QUOTA_REJECT_S = 0.1
-#: Seconds for which callers may keep an answer to a look-up.
+#: Time for which callers may cache a look-up answer.
 STEER_LOOKUP_TTL_S = 1.0
-#: Seconds for which a stopping entry still takes what callers send to it, and the most of the time
-#: until it is killed that this may take: what was taken last has to be finished in the rest.
-SHUTDOWN_ACCEPT_S = 3.0
-SHUTDOWN_ACCEPT_FRACTION = 0.5
-#: Multiple of their time for which some callers keep an answer to a look-up.
+#: Time for which a stopping entry still accepts requests, and its maximum as a fraction of the time
+#: until the process is killed: the requests accepted last have to finish in the rest.
+SHUTDOWN_SERVE_S = 3.0
+SHUTDOWN_SERVE_FRACTION = 0.5
+#: Factor by which some callers exceed the time for which they may cache a look-up answer.
 LOOKUP_TTL_OVERRUN_FACTOR = 3.0
-#: Most addresses in an answer to a look-up; callers take no more.
+#: Maximum number of addresses in a look-up answer; callers accept no more.
 MAX_LOOKUP_ADDRESSES = 64
-#: Addresses up to which a zone's own are made up with as many others of its region.
+#: Number of addresses up to which those of a zone are supplemented by as many others of its region.
 LOOKUP_FILL_ADDRESSES = 16
 
-#: How many targets hold an object, in the order of their hashes.
+#: Number of targets that serve an object, in rendezvous hashing order.
 AFFINITY_HOMES = 2
-#: Slots, as a multiple of a target's own, up to which the homes are filled, one limit after
-#: the other: first every home up to the first limit, then every home up to the next.
+#: Load limits of these targets, as multiples of their slots. They are applied one after the other:
+#: every target is filled up to the first limit, then every target up to the next.
 AFFINITY_LIMITS = (1.0, 1.5, 3.0)
-#: The same for requests whose callers have waited for longer than the answer is worth most.
+#: The same for requests that have already waited longer than their answer is worth most.
 LATE_LIMITS = (1.0,)
-#: Part of what may shift between regions that an entry uses, and the seconds that it is counted in.
+#: Fraction of the allowed shift between regions that an entry uses, and the window in which the
+#: shift is counted.
 SHIFT_BUDGET_FRACTION = 2 / 3
 SHIFT_WINDOW_S = 2.0
-#: Seconds after which half of a target's word on its load is replaced by an entry's own knowledge.
+#: Half-life of a target's load report: the time after which it counts for half, against the
+#: entry's own count.
 LOAD_HALF_LIFE_S = 1.5
-#: Most objects whose order of targets is kept.
+#: Maximum number of objects whose order of targets is cached.
 AFFINITY_CACHE_OBJECTS = 20_000
-#: Seconds in which a connection to a target must be open.
+#: Timeout for opening a connection to a target.
 TARGET_CONNECT_S = 0.35
-#: Seconds for which sent bytes may stay unacknowledged before their connection is given up.
+#: TCP user timeout: time for which sent data may stay unacknowledged before the connection is
+#: closed.
 TCP_USER_TIMEOUT_S = 0.4
-#: Failed connections and failed exchanges in a row after which a target rests.
+#: Consecutive failed connections or exchanges after which a target is ejected.
 EJECTION_FAILURES = 3
-#: Seconds for which it rests, at first and at most.
+#: Time for which a target is ejected, first and longest.
 EJECTION_S = 0.3
 MAX_EJECTION_S = 2.0
-#: Files that a process may have open, and those of them that callers' connections don't get: the
-#: platform keeps two hundred for files, and the store, other entries and listeners need some.
+#: Maximum number of open files of a process, and those that are not available to connections of
+#: callers: the platform keeps two hundred for files, and the store, other entries and listeners
+#: need some.
 MAX_FILES = 4096
 RESERVED_FILES = 296
-#: Part of the rest that callers' connections get; most of those in use need one to a target.
+#: Fraction of the remaining files for connections of callers; most of those in use need another
+#: connection to a target.
 CALLER_FILES_FRACTION = 0.6
-#: Most connections of callers, and the fewest that are let in.
+#: Maximum number of connections of callers, and the minimum however few files there are.
 MAX_CALLER_CONNECTIONS = 3000
 MIN_CALLER_CONNECTIONS = 32
-#: Seconds for which an idle connection to a target is used again.
+#: Idle time for which a connection to a target is reused.
 TARGET_IDLE_TIMEOUT_S = 3.0
-#: Seconds that a request must have left to be sent to a target.
+#: Time that must be left until a request's deadline for it to be sent to a target.
 MIN_SEND_TIME_LEFT_S = 0.02
-#: Seconds after which a refused caller may come back.
+#: Shortest Retry-After that callers of rejected requests are given.
 STEER_RETRY_AFTER_S = 0.1
-#: Largest body of a request that is held whole, in bytes.
+#: Maximum size of a request body that is buffered whole.
 MAX_BUFFERED_UPLOAD_BYTES = 2 * 1024 * 1024
-#: Largest head of a target's answer, in bytes.
+#: Maximum size of the head (status line and headers) of a target's answer.
 MAX_ANSWER_HEAD_BYTES = 64 * 1024
--- a/src/coralfall/exceptions.py
+++ b/src/coralfall/exceptions.py
@@ -1,16 +1,19 @@
-"""One hierarchy of errors: a code to match on, fields to read, a message to act on."""
+"""Exception hierarchy of the package.
+
+Each error has a stable code to match on, a message of one line for people, and structured fields.
+"""
 
 import typing as t
 
 
 class CoralfallError(Exception):
-    """Base of every error that coralfall raises.
+    """Base class of all errors that coralfall raises.
 
-    :param message: what went wrong and what to do about it, in one line.
+    :param message: what went wrong and how to fix it, in one line.
     :param fields: structured values that belong to the message.
     """
 
-    #: Stable name for scripts and logs.
+    #: Stable identifier for scripts and logs.
     code = "error"
 
     def __init__(self, message: str, **fields: t.Any) -> None:
@@ -19,25 +22,25 @@
         self.fields = fields
 
     def as_dict(self) -> t.Dict[str, t.Any]:
-        """Code, message and fields, for ``--json`` and for logs."""
+        """Returns code, message and fields, for JSON output and for logs."""
         return {"code": self.code, "message": self.message, **self.fields}
 
 
 class Fault(t.NamedTuple):
-    """One thing wrong with an operator's input."""
+    """One error in an operator's input."""
 
-    #: Where, as a dotted path: ``services.catalogo.shift_cap``.
+    #: Location as a dotted path, such as ``services.catalogo.shift_cap``.
     path: str
-    #: Stable name, such as ``unknown-field`` or ``wrong-type``.
+    #: Stable identifier, such as ``unknown-field`` or ``wrong-type``.
     code: str
-    #: What was found, what is allowed.
+    #: What was found and what is allowed.
     message: str
 
 
 class InputError(CoralfallError):
-    """Input of an operator that can't be taken; carries every fault found.
+    """Invalid input of an operator, with every fault found in it.
 
-    :param message: which input, in one line.
+    :param message: names the input, in one line.
     :param faults: at least one fault.
     """
 
@@ -53,165 +56,165 @@
 
 
 class SettingsError(InputError):
-    """A settings file that is missing, unreadable or wrong."""
+    """A settings file is missing, unreadable or invalid."""
 
     code = "settings"
 
 
 class BundleError(InputError):
-    """A bundle that breaks a rule of the bundle format."""
+    """A bundle violates the bundle format."""
 
     code = "bundle"
 
 
 class SignatureError(CoralfallError):
-    """A signature or key that is missing, forged, unknown or unsafe."""
+    """A signature or key is missing, forged, unknown or unsafe."""
 
     code = "signature"
 
 
 class StatusError(CoralfallError):
-    """An entry that did not tell its status, or told what can't be read."""
+    """An entry did not return its status, or returned one that can't be parsed."""
 
     code = "status"
 
 
 class LookupFailedError(CoralfallError):
-    """No entry answered a look-up; ``fields`` say what each one did."""
+    """No entry answered a look-up; ``fields`` holds the result of each attempt."""
 
     code = "lookup"
 
 
 class SupervisorError(CoralfallError):
-    """A child that ended by itself or failed too often; ``fields`` name it."""
+    """A supervised child exited by itself or failed too often; ``fields`` names it."""
 
     code = "supervisor"
 
 
 class ListenError(CoralfallError):
-    """An address that can't be listened on."""
+    """A listening socket can't be opened at an address."""
 
     code = "listen"
 
 
 class PlatformError(CoralfallError):
-    """Base of the platform layer's errors."""
+    """Base class of errors of calls to the platform."""
 
     code = "platform"
 
 
 class PlatformUnavailableError(PlatformError):
-    """The platform did not take the call; a write surely had no effect."""
+    """The platform did not carry out the call; a write had no effect."""
 
     code = "platform-unavailable"
 
 
 class PlatformRejectedError(PlatformUnavailableError):
-    """The platform will not take this call, however often it is repeated."""
+    """The platform rejected the call permanently; a retry can't succeed."""
 
     code = "platform-rejected"
 
 
 class PlatformUnknownError(PlatformError):
-    """No answer came back; a write may or may not have taken effect."""
+    """No answer was received; a write may or may not have taken effect."""
 
     code = "platform-unknown"
 
 
 class HistoryLostError(PlatformError):
-    """The platform no longer knows what followed a revision; take a snapshot instead."""
+    """The platform no longer has the changes since a revision; read a snapshot instead."""
 
     code = "history-lost"
 
 
 class DesiredStateError(PlatformError):
-    """A desired state, or a part of it, that can't be read; ``fields`` name the row and field."""
+    """A row can't be decoded; ``fields`` names the row and the field."""
 
     code = "desired-state"
 
 
 class ObjectMissingError(PlatformError):
-    """The object store holds nothing under that digest."""
+    """The object store has no object with the digest."""
 
     code = "object-missing"
 
 
 class SubmitError(CoralfallError):
-    """A bundle that was not staged or accepted; ``fields`` say why, and which one won a race."""
+    """A bundle was not staged or accepted; ``fields`` has the reason and who won a conflict."""
 
     code = "submit"
 
 
 class PeerError(CoralfallError):
-    """Base of the errors between entries."""
+    """Base class of errors of the peer protocol."""
 
     code = "peer"
 
 
 class PeerAuthError(PeerError):
-    """The other side does not hold the fleet's key."""
+    """The peer failed to authenticate with the fleet's key."""
 
     code = "peer-auth"
 
 
 class PeerVersionError(PeerError):
-    """The other side speaks another version of the peer protocol."""
+    """The peer uses another version of the peer protocol."""
 
     code = "peer-version"
 
 
 class PeerFrameError(PeerError):
-    """A frame that is too long, cut short or not a known message."""
+    """A frame is too long, truncated or not a known message."""
 
     code = "peer-frame"
 
 
 class PeerClosedError(PeerError):
-    """The stream ended, by the other side's word or before a message could be sent."""
+    """The stream was closed by the peer, or before a message could be sent."""
 
     code = "peer-closed"
 
 
 class PeerTimeoutError(PeerError):
-    """The other side was too slow; what it did with the message is not known."""
+    """The peer did not answer in time; whether it processed the message is unknown."""
 
     code = "peer-timeout"
 
 
 class PeerUnreachableError(PeerError):
-    """No connection came about, or no peer could do what was asked."""
+    """No connection could be opened, or no peer could serve the request."""
 
     code = "peer-unreachable"
 
 
 class TargetError(CoralfallError):
-    """Base of the errors of an exchange with a target."""
+    """Base class of errors of an exchange with a target."""
 
     code = "target"
 
 
 class TargetNotRunError(TargetError):
-    """Evidence that the target did not run the request: refused, or its own word."""
+    """The target did not run the request: the connection was refused, or the target said so."""
 
     code = "target-not-run"
 
 
 class TargetUnknownError(TargetError):
-    """The exchange broke after bytes had left; the request may have run."""
+    """The exchange failed after data had been sent; the target may have run the request."""
 
     code = "target-unknown"
 
 
 class TargetTimeoutError(TargetUnknownError):
-    """The deadline passed after bytes had left and before the whole answer came."""
+    """The deadline passed after data had been sent and before the answer was complete."""
 
     code = "target-timeout"
 
 
 class RequestError(CoralfallError):
-    """A caller's request that can't be taken as it is; no target has seen it whole.
+    """A caller's request is invalid; no target has received all of it.
 
-    :param code: stable name, such as ``key-required``.
+    :param code: stable identifier, such as ``key-required``.
     :param status: HTTP status of the answer.
     """
 
@@ -222,16 +225,16 @@
 
 
 class CallerGoneError(CoralfallError):
-    """The caller closed its connection before its request was whole."""
+    """The caller closed its connection before its request was complete."""
 
     code = "caller-gone"
 
 
 class RetryLaterError(CoralfallError):
-    """Base of the errors after which a retry may do better.
+    """Base class of errors after which a retry may succeed.
 
-    :param message: why.
-    :param retry_after: seconds after which a retry makes sense.
+    :param message: reason, in one line.
+    :param retry_after: seconds after which the caller may retry.
     """
 
     def __init__(self, message: str, retry_after: float, **fields: t.Any) -> None:
@@ -240,36 +243,36 @@
 
 
 class RefusedError(RetryLaterError):
-    """A request that is given up before any target saw it."""
+    """A request was rejected before it reached any target."""
 
     code = "refused"
 
 
 class OverLimitError(RetryLaterError):
-    """A request beyond its tenant's limit; it was given up before any target saw it."""
+    """A request exceeds its tenant's rate limit; it was rejected before it reached any target."""
 
     code = "over-limit"
 
 
 class ClaimError(CoralfallError):
-    """Base of the errors of idempotency keys; the request was not dispatched."""
+    """Base class of errors of idempotency keys; the request was not dispatched."""
 
     code = "claim"
 
 
 class ClaimMismatchError(ClaimError):
-    """The key names another command already; use a new key for this one."""
+    """The key is already in use for another command; use a new key for this one."""
 
     code = "claim-mismatch"
 
 
 class ClaimBusyError(RetryLaterError, ClaimError):
-    """Another request with the key is in progress, or what became of it is not known yet."""
+    """Another request with the key is in progress, or its outcome is not known yet."""
 
     code = "claim-busy"
 
 
 class ClaimUnknownError(ClaimError):
-    """An earlier request with the key was dispatched, and what became of it stays unknown."""
+    """An earlier request with the key was dispatched, and its outcome will remain unknown."""
 
     code = "claim-unknown"
--- a/src/coralfall/ids.py
+++ b/src/coralfall/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers and states that every layer shares, in the words of the brief."""
+"""Identifier types and state enums that all packages share."""
 
 import enum
 import typing as t
@@ -13,20 +13,21 @@
 VmId = t.NewType("VmId", str)
 KeyId = t.NewType("KeyId", str)
 TenantId = t.NewType("TenantId", str)
-#: SHA-256 of some bytes, as 64 lower-case hexadecimal digits.
+#: SHA-256 digest as 64 lower-case hexadecimal digits.
 Digest = t.NewType("Digest", str)
-#: Position of a bundle in its partner's line, from 1 upwards.
+#: Sequence number of a bundle among those of its partner, from 1 upwards.
 BundleVersion = t.NewType("BundleVersion", int)
-#: Position of a write in the platform's table, from 1 upwards; 0 means "no such row".
+#: Sequence number of a write to the platform's table, from 1 upwards; 0 means that the row does not
+#: exist.
 Revision = t.NewType("Revision", int)
-#: Number of a process's life on its VM; a later process has a larger one.
+#: Generation of a process on its VM; rises with each restart.
 Incarnation = t.NewType("Incarnation", int)
-#: What a caller sends to name one command, whatever entry carries it.
+#: Key by which a caller identifies one command across retries at any entry.
 IdempotencyKey = t.NewType("IdempotencyKey", str)
 
 
 class TargetState(enum.Enum):
-    """What a bundle says of a target."""
+    """State of a target according to its bundle."""
 
     JOINING = "joining"
     ACTIVE = "active"
@@ -34,21 +35,21 @@
 
 
 class VmState(enum.Enum):
-    """What the platform's VM list says of a VM."""
+    """State of a VM according to the platform's VM list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class PolicyName(enum.Enum):
-    """Which objective ranks the targets of a service."""
+    """Objective by which the targets of a service are ranked."""
 
     LATENCY = "latency"
     HEADROOM = "headroom"
 
 
 class Outcome(enum.Enum):
-    """What a caller is told of its request; also the value of the outcome header."""
+    """Outcome of a request as reported to its caller; the value of the outcome header."""
 
     DONE = "done"
     NOT_RUN = "not-run"
@@ -56,7 +57,7 @@
 
 
 class EntryState(enum.Enum):
-    """What an entry says of itself in the roster."""
+    """State of an entry in the roster, as reported by itself."""
 
     SERVING = "serving"
     LEAVING = "leaving"
--- a/src/coralfall/platform/__init__.py
+++ b/src/coralfall/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: translation between its pages and the product, and nothing else.
+"""Adapter to the users' platform: translates between its interfaces and this package's types.
 
-Nothing outside this folder knows a name that the platform's pages use. What is decided, kept or
-recovered is the product's, in :mod:`coralfall.traffic`.
+Names of the platform's headers, calls and rows occur in this package only. Decisions,
+state and recovery are the concern of :mod:`coralfall.traffic`.
 """
--- a/src/coralfall/platform/http.py
+++ b/src/coralfall/platform/http.py
@@ -1,4 +1,7 @@
-"""What the platform and its callers ask over HTTP, as small ASGI applications."""
+"""ASGI applications for the platform's HTTP endpoints: readiness checks and look-ups.
+
+Requests of callers are forwarded to targets elsewhere, in :mod:`coralfall.traffic`.
+"""
 
 import typing as t
 import urllib.parse
@@ -20,26 +23,26 @@
 
 
 class ReadinessApp:
-    """Answers the platform's own checks.
+    """Answers the platform's readiness checks.
 
-    :param ready: whether callers may be sent here.
+    :param is_ready: returns whether callers may be sent to this entry.
     """
 
-    def __init__(self, ready: t.Callable[[], bool]) -> None:
-        self._ready = ready
+    def __init__(self, is_ready: t.Callable[[], bool]) -> None:
+        self._is_ready = is_ready
 
     async def __call__(self, scope: "Scope", receive: "Receive", send: "Send") -> None:
         status = 404
         if scope["path"] == names.READY_PATH:
-            status = 200 if self._ready() else 503
-        await _answer(send, status, b"{}")
+            status = 200 if self._is_ready() else 503
+        await _send_response(send, status, b"{}")
 
 
 class ResolveApp:
-    """Answers callers who ask where to connect.
+    """Answers look-ups: tells callers which entries to connect to.
 
-    :param lookup: knows the answer.
-    :param telemetry: counts the questions.
+    :param lookup: selects the addresses.
+    :param telemetry: counts the look-ups.
     """
 
     def __init__(self, lookup: "Lookup", telemetry: "Telemetry") -> None:
@@ -48,25 +51,25 @@
 
     async def __call__(self, scope: "Scope", receive: "Receive", send: "Send") -> None:
         if scope["path"] != names.RESOLVE_PATH:
-            await _answer(send, 404, b"{}")
+            await _send_response(send, 404, b"{}")
             return
         query = dict(urllib.parse.parse_qsl(scope["query_string"].decode("latin-1")))
-        question = LookupQuery(
+        lookup_query = LookupQuery(
             query.get("name", ""),
             RegionId(query.get("region", "")),
             ZoneId(query.get("zone", "")),
         )
-        addresses = self._lookup.addresses(question)
+        addresses = self._lookup.addresses(lookup_query)
         self._telemetry.count_lookup(bool(addresses))
         if not addresses:
-            log.info("lookup.refused", zone=question.zone, reason="no-entry-ready")
-            await _answer(send, 503, b"{}")
+            log.info("lookup.refused", zone=lookup_query.zone, reason="no-entry-ready")
+            await _send_response(send, 503, b"{}")
             return
         body = msgspec.json.encode({"addresses": addresses, "ttlS": self._lookup.ttl_s})
-        await _answer(send, 200, body)
+        await _send_response(send, 200, body)
 
 
-async def _answer(send: "Send", status: int, body: bytes) -> None:
+async def _send_response(send: "Send", status: int, body: bytes) -> None:
     headers = [_JSON, (b"content-length", str(len(body)).encode())]
     await send({"type": "http.response.start", "status": status, "headers": headers})
     await send({"type": "http.response.body", "body": body})
--- a/src/coralfall/platform/names.py
+++ b/src/coralfall/platform/names.py
@@ -1,4 +1,4 @@
-"""Names that the platform's pages use, for headers, calls and rows."""
+"""Names of headers, paths and tables in the platform's interfaces."""
 
 from ..traffic.wire import HeaderNames
 
@@ -27,5 +27,5 @@
 STATE_KEY = "config"
 EVACUATION_PREFIX = "evacuate/"
 TARGET_TABLE = "servers"
-#: The system's own table of its entries.
+#: Table in which coralfall keeps the records of its own entries.
 ENTRY_TABLE = "entries"
--- a/src/coralfall/platform/rows.py
+++ b/src/coralfall/platform/rows.py
@@ -1,4 +1,8 @@
-"""Rows of the platform's store in the product's words."""
+"""Codec for rows of the platform's store: desired state, targets and entries.
+
+The ``msgspec`` structs describe the JSON that the operator and the targets write; unknown fields
+are ignored. Valid rows are converted to the types of :mod:`coralfall.traffic.model`.
+"""
 
 import ipaddress
 import re
@@ -26,12 +30,16 @@
 _DRAINING = "draining"
 _MAX_PORT = 65535
 _ANY_REGION: t.FrozenSet[RegionId] = frozenset()
-#: A tenant's name goes into a header.
-_NAME = re.compile(r"[!-~]+")
-_KINDS = {"safe": RequestKind.SAFE, "unsafe": RequestKind.UNSAFE, "upload": RequestKind.UPLOAD}
+#: Visible ASCII, since a tenant's name is sent in a header.
+_TENANT_NAME = re.compile(r"[!-~]+")
+_KIND_BY_NAME = {
+    "safe": RequestKind.SAFE,
+    "unsafe": RequestKind.UNSAFE,
+    "upload": RequestKind.UPLOAD,
+}
 
 
-class _Part(msgspec.Struct):
+class _Backend(msgspec.Struct):
     service: str
     weight: float
 
@@ -45,22 +53,22 @@
     latency_target_s: float = 1.0
     priority: int = 0
     service: t.Optional[str] = None
-    backends: t.List[_Part] = []
+    backends: t.List[_Backend] = []
     max_attempts: int = 1
     session_affinity: bool = False
     public: bool = False
     allowed_regions: t.List[str] = []
 
 
-_Amount = t.Annotated[float, msgspec.Meta(ge=0)]
+_NonNegativeFloat = t.Annotated[float, msgspec.Meta(ge=0)]
 
 
 class _Tenant(msgspec.Struct, rename="camel"):
     name: t.Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
     api_keys: t.List[t.Annotated[str, msgspec.Meta(min_length=1)]] = []
     priority: t.Optional[int] = None
-    rate_per_s: t.Optional[_Amount] = None
-    burst: t.Optional[_Amount] = None
+    rate_per_s: t.Optional[_NonNegativeFloat] = None
+    burst: t.Optional[_NonNegativeFloat] = None
     allowed_regions: t.List[str] = []
 
 
@@ -86,7 +94,7 @@
     tenants: t.Optional[t.List[_Tenant]] = None
 
 
-_Count = t.Annotated[int, msgspec.Meta(ge=0)]
+_NonNegativeInt = t.Annotated[int, msgspec.Meta(ge=0)]
 
 
 class _Info(msgspec.Struct):
@@ -98,9 +106,9 @@
 
 class _Status(msgspec.Struct, rename="camel"):
     state: t.Literal["ready", "draining"]
-    #: Rises with each write of one lifetime and starts anew with the next, so that it orders rows
-    #: of one lifetime alone. Rows are ordered by the store's revisions here.
-    sequence: _Count
+    #: Rises with each write of one lifetime and restarts with the next, so that it can't order rows
+    #: of different lifetimes. Here rows are ordered by the store's revisions instead.
+    sequence: _NonNegativeInt
     warmup_left_s: t.Annotated[float, msgspec.Meta(ge=0)] = 0.0
 
 
@@ -108,7 +116,7 @@
     address: str
     info: _Info
     status: _Status
-    born: t.Union[_Count, msgspec.UnsetType] = msgspec.UNSET
+    born: t.Union[_NonNegativeInt, msgspec.UnsetType] = msgspec.UNSET
 
 
 _config_decoder = msgspec.json.Decoder(_Config)
@@ -116,16 +124,16 @@
 _entry_decoder = msgspec.msgpack.Decoder(EntryRecord)
 
 
-class PlatformTranslator(RowCodec):
-    """Reads and writes the platform's rows."""
+class PlatformRowCodec(RowCodec):
+    """Decodes and encodes rows of the platform's store."""
 
     state_prefix = f"{names.STATE_TABLE}/"
     target_prefix = f"{names.TARGET_TABLE}/"
     entry_prefix = f"{names.ENTRY_TABLE}/"
 
     def __init__(self) -> None:
-        #: Keys of targets that told when their lifetime began, and so always do.
-        self._born_keys: t.Set[str] = set()
+        #: Keys of targets that have written ``born`` once; a row without it is then invalid.
+        self._keys_with_born: t.Set[str] = set()
 
     def decode_state_row(self, key: str, data: bytes) -> StateRow:
         name = key.removeprefix(self.state_prefix)
@@ -139,9 +147,13 @@
         server = _decode(_server_decoder, key, data)
         born = None if server.born is msgspec.UNSET else server.born
         if born is not None:
-            self._born_keys.add(key)
-        elif key in self._born_keys:
-            raise DesiredStateError(f"{key} can't be read: it lacks `born`", key=key, field="born")
+            self._keys_with_born.add(key)
+        elif key in self._keys_with_born:
+            raise DesiredStateError(
+                f"{key} can't be read: `born` is missing, earlier rows of the target had it",
+                key=key,
+                field="born",
+            )
         return Target(
             target_id=TargetId(key.removeprefix(self.target_prefix)),
             service=ServiceId(server.info.service),
@@ -182,13 +194,13 @@
     except ValueError:
         valid = False
     if not valid:
-        message = f"{key} can't be read: address {address!r} is no ip:port - at `$.address`"
+        message = f"{key} can't be read: address {address!r} is not ip:port - at `$.address`"
         raise DesiredStateError(message, key=key, field="address")
     return address
 
 
 def _desired_state(config: _Config) -> DesiredState:
-    services = {ServiceId(service.name): _rules(service) for service in config.services}
+    services = {ServiceId(service.name): _service_rules(service) for service in config.services}
     return DesiredState(
         version=config.version,
         routes=tuple([_route(route) for route in config.routes]),
@@ -204,34 +216,34 @@
 
 
 def _tenants(tenants: t.Sequence[_Tenant]) -> t.Tuple[Tenant, ...]:
-    """All tenants; a key that is two tenants' would let one act as the other, so none may be."""
-    names = {tenant.name for tenant in tenants if _NAME.fullmatch(tenant.name)}
+    """Converts all tenants; none may share a key, since one could then act as the other."""
+    names = {tenant.name for tenant in tenants if _TENANT_NAME.fullmatch(tenant.name)}
     if len(names) != len(tenants):
         raise _name_error(tenants)
     keys = [key for tenant in tenants for key in tenant.api_keys]
     if len(set(keys)) != len(keys):
-        _refuse_shared_keys(tenants)
+        _reject_shared_keys(tenants)
     return tuple([_tenant(tenant) for tenant in tenants])
 
 
 def _name_error(tenants: t.Sequence[_Tenant]) -> DesiredStateError:
     names: t.Set[str] = set()
     number = 0
-    while tenants[number].name not in names and _NAME.fullmatch(tenants[number].name):
+    while tenants[number].name not in names and _TENANT_NAME.fullmatch(tenants[number].name):
         names.add(tenants[number].name)
         number += 1
     message = f"`name` {tenants[number].name!r} is listed twice, or not made of visible ASCII"
     return _tenant_error(number, "name", message)
 
 
-def _refuse_shared_keys(tenants: t.Sequence[_Tenant]) -> None:
+def _reject_shared_keys(tenants: t.Sequence[_Tenant]) -> None:
     number_by_key: t.Dict[str, int] = {}
     for number, tenant in enumerate(tenants):
         for key in tenant.api_keys:
             other = number_by_key.setdefault(key, number)
             if other != number:
-                # The key itself must not get into a log.
-                message = f"one of `apiKeys` is also a key of `$.tenants[{other}]`; make a new one"
+                # The message is logged, so it must not contain the key.
+                message = f"one of `apiKeys` is also a key of `$.tenants[{other}]`; use a new one"
                 raise _tenant_error(number, "apiKeys", message)
 
 
@@ -254,7 +266,7 @@
     return frozenset([RegionId(name) for name in names]) if names else _ANY_REGION
 
 
-def _rules(service: _Service) -> ServiceRules:
+def _service_rules(service: _Service) -> ServiceRules:
     return ServiceRules(
         service=ServiceId(service.name),
         max_connections=service.max_conns,
@@ -264,15 +276,17 @@
 
 
 def _route(route: _Route) -> Route:
-    kind = _KINDS.get(route.kind)
+    kind = _KIND_BY_NAME.get(route.kind)
     if kind is None:
-        message = f"route {route.name}: kind {route.kind!r} is not known; allowed: {list(_KINDS)}"
+        message = (
+            f"route {route.name}: kind {route.kind!r} is not known; allowed: {list(_KIND_BY_NAME)}"
+        )
         raise DesiredStateError(message, field="kind")
-    backends = [Backend(ServiceId(part.service), part.weight) for part in route.backends]
+    backends = [Backend(ServiceId(backend.service), backend.weight) for backend in route.backends]
     if route.service is not None:
         backends = [Backend(ServiceId(route.service), 1.0)]
     if not backends:
-        message = f"route {route.name}: it names neither a service nor backends"
+        message = f"route {route.name}: it has neither a service nor backends"
         raise DesiredStateError(message, field="service")
     return Route(
         route_id=RouteId(route.name),
--- a/src/coralfall/platform/run.py
+++ b/src/coralfall/platform/run.py
@@ -1,4 +1,4 @@
-"""Runs an entry on the platform: its settings, its store and its HTTP around the product's node."""
+"""Runs an entry on the platform: connects a node to the platform's store, row codec and HTTP."""
 
 import asyncio
 import os
@@ -17,7 +17,7 @@
 from ..traffic.settings_reloader import SettingsReloader
 from .http import ReadinessApp, ResolveApp
 from .names import HEADERS
-from .rows import PlatformTranslator
+from .rows import PlatformRowCodec
 from .store import RowStore
 
 #: Environment variable that holds the path of the settings file.
@@ -25,11 +25,11 @@
 
 
 def run_steer(path: t.Optional[pathlib.Path] = None) -> int:
-    """Run an entry until told to stop; the process's exit status.
+    """Runs an entry until it is told to stop, and returns the exit status of the process.
 
-    :param path: settings file; by default the one that the platform names.
+    :param path: settings file; by default the one that the platform provides.
     """
-    path = _path_of(path)
+    path = _settings_path(path)
     settings = load_settings(path, SteerSettings)
     log.configure(settings.log)
     log.identify(entry=settings.entry_id)
@@ -37,17 +37,17 @@
 
 
 def check_settings(path: t.Optional[pathlib.Path] = None) -> str:
-    """What an operator is told of a settings file that an entry would start with.
+    """Validates a settings file and returns a confirmation for the operator.
 
-    :param path: settings file; by default the one that the platform names.
-    :raises SettingsError: with every fault, if it would not start.
+    :param path: settings file; by default the one that the platform provides.
+    :raises SettingsError: with every fault found in the file.
     """
-    path = _path_of(path)
+    path = _settings_path(path)
     settings = load_settings(path, SteerSettings)
     return f"{path}: good, for entry {settings.entry_id} in {settings.zone}"
 
 
-def _path_of(path: t.Optional[pathlib.Path]) -> pathlib.Path:
+def _settings_path(path: t.Optional[pathlib.Path]) -> pathlib.Path:
     if path is not None:
         return path
     return pathlib.Path(os.environ.get(SETTINGS_VARIABLE, "/etc/coralfall/settings.toml"))
@@ -58,7 +58,7 @@
     node = Node(
         settings,
         HEADERS,
-        PlatformTranslator(),
+        PlatformRowCodec(),
         Store(store, store),
         SystemClock(),
         random.Random(),
--- a/src/coralfall/platform/store.py
+++ b/src/coralfall/platform/store.py
@@ -1,6 +1,7 @@
-"""The platform's store over HTTP, as the product's feed and table.
+"""Client for the platform's store over HTTP, as a feed and a table.
 
-A row's key here is ``table/key``; the part is always empty.
+Rows have the key ``table/key`` in this package; the platform's field ``part`` is always empty.
+Reads reuse connections and are retried once on a new one; writes always use a new one.
 """
 
 import asyncio
@@ -26,11 +27,11 @@
 from ..traffic.settings import StoreSettings
 from . import names
 
-_MAX_ANSWER_BYTES = 4 * 1024 * 1024
-_PAGE_ROWS = 500
-_JSON = (b"content-type", b"application/json")
-_GONE = 410
-_CONFLICT = 412
+_MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+_ROWS_PER_PAGE = 500
+_JSON_HEADER = (b"content-type", b"application/json")
+_STATUS_HISTORY_LOST = 410
+_STATUS_CONFLICT = 412
 
 
 class _Row(msgspec.Struct):
@@ -53,35 +54,35 @@
 
 
 class RowStore(Feed, Table):
-    """Calls to the platform's store.
+    """Client for the platform's store.
 
-    :param settings: where it answers.
+    :param settings: address and timeout.
     """
 
     def __init__(self, settings: StoreSettings) -> None:
         self._settings = settings
         self._idle: t.List[ServerConnection] = []
-        #: Calls made so far.
+        #: Number of calls made so far.
         self.calls = 0
 
     async def snapshot(self, prefix: str) -> Changes:
         rows: t.List[Row] = []
-        first: t.Optional[_Rows] = None
+        first_page: t.Optional[_Rows] = None
         after = ""
         while True:
-            query = {"table": _table_of(prefix), "part": "", "limit": str(_PAGE_ROWS)}
+            query = {"table": _table_name(prefix), "part": "", "limit": str(_ROWS_PER_PAGE)}
             if after:
                 query["from"] = after
             page = await self._read(names.ROWS_GET_PATH, query, 0.0)
-            first = first or page
+            first_page = first_page or page
             rows += [_row(row) for row in page.rows]
             if not page.has_more or not page.rows:
-                return Changes(tuple(rows), Revision(first.ver), first.now_s)
+                return Changes(tuple(rows), Revision(first_page.ver), first_page.now_s)
             after = page.rows[-1].key + "\0"
 
     async def follow(self, prefix: str, since: Revision, wait_s: float) -> Changes:
         query = {
-            "table": _table_of(prefix),
+            "table": _table_name(prefix),
             "after": str(since),
             "waitMs": str(int(wait_s * 1000)),
         }
@@ -92,7 +93,9 @@
         self, prefixes: t.Sequence[str], since: Revision, limit: t.Optional[int] = None
     ) -> Changes:
         if len(prefixes) != 1:
-            raise PlatformRejectedError("the platform's store tells the changes of one table")
+            raise PlatformRejectedError(
+                "the platform's store returns changes of one table at a time"
+            )
         if since:
             return await self.follow(prefixes[0], since, 0.0)
         return await self.snapshot(prefixes[0])
@@ -113,8 +116,8 @@
     ) -> TransactResult:
         body = msgspec.json.encode(_transaction(writes, checks))
         answer = await self._write(body)
-        if answer.status not in (200, _CONFLICT):
-            raise _refusal(answer)
+        if answer.status not in (200, _STATUS_CONFLICT):
+            raise _status_error(answer)
         result = _decode(answer)
         conflicts = tuple([_row(row) for row in result.rows])
         committed = answer.status == 200
@@ -123,36 +126,39 @@
     async def _read(self, path: str, query: t.Dict[str, str], wait_s: float) -> _Rows:
         target = f"{path}?{urllib.parse.urlencode(query)}"
         answer = await self._get(target, wait_s)
-        if answer.status == _GONE:
-            raise HistoryLostError("the platform's store no longer has these changes")
+        if answer.status == _STATUS_HISTORY_LOST:
+            raise HistoryLostError(
+                "the platform's store no longer has the changes since that revision"
+            )
         if answer.status != 200:
-            raise _refusal(answer)
+            raise _status_error(answer)
         return _decode(answer)
 
     async def _get(self, path: str, wait_s: float) -> ServerAnswer:
         head = head_of("GET", path, self._settings.address, [])
-        kept = self._take_idle()
-        if kept is not None:
+        reused = self._take_idle()
+        if reused is not None:
             try:
-                return await self._call(kept, head, b"", defaults.STORE_REUSED_TIMEOUT_S + wait_s)
+                return await self._call(reused, head, b"", defaults.STORE_REUSED_TIMEOUT_S + wait_s)
             except (BrokenAnswerError, OSError):
-                # Open connections may have gone silent, or been cut, while new ones work.
+                # Open connections may all have been cut or no longer transmit while new ones work.
                 self._drop_idle()
         connection = await self._connect()
         try:
             return await self._call(connection, head, b"", self._settings.timeout_s + wait_s)
         except (BrokenAnswerError, OSError) as error:
-            raise PlatformUnavailableError(_unanswered(path, error)) from error
+            raise PlatformUnavailableError(_no_answer_message(path, error)) from error
 
     async def _write(self, body: bytes) -> ServerAnswer:
-        fields = [_JSON, (b"content-length", str(len(body)).encode())]
+        fields = [_JSON_HEADER, (b"content-length", str(len(body)).encode())]
         head = head_of("POST", names.ROWS_TX_PATH, self._settings.address, fields)
-        # Always a new connection: a write that an old one swallowed could not be sent again.
+        # A write can't be repeated after its answer was lost, so it is never sent on an idle
+        # connection, which may be dead.
         connection = await self._connect()
         try:
             return await self._call(connection, head, body, self._settings.timeout_s)
         except (BrokenAnswerError, OSError) as error:
-            raise PlatformUnknownError(_unanswered(names.ROWS_TX_PATH, error)) from error
+            raise PlatformUnknownError(_no_answer_message(names.ROWS_TX_PATH, error)) from error
 
     async def _call(
         self, connection: ServerConnection, head: bytes, body: bytes, seconds: float
@@ -179,17 +185,17 @@
     async def _connect(self) -> ServerConnection:
         address = self._settings.address
         try:
-            return await connect(address, self._settings.timeout_s, _MAX_ANSWER_BYTES)
+            return await connect(address, self._settings.timeout_s, _MAX_RESPONSE_BYTES)
         except OSError as error:
-            message = f"store at {address} can't be connected: {error or type(error).__name__}"
+            message = f"can't connect to the store at {address}: {error or type(error).__name__}"
             raise PlatformUnavailableError(message) from error
 
 
-def _unanswered(path: str, error: Exception) -> str:
+def _no_answer_message(path: str, error: Exception) -> str:
     return f"{path}: no answer: {error or type(error).__name__}"
 
 
-def _table_of(prefix: str) -> str:
+def _table_name(prefix: str) -> str:
     return prefix.partition("/")[0]
 
 
@@ -200,7 +206,7 @@
     try:
         return Row(key, base64.b64decode(row.value, validate=True), Revision(row.ver))
     except binascii.Error as error:
-        # One row must not hide the others; its reader finds nothing to read in it.
+        # One invalid row must not make the others unreadable; its decoder rejects the empty value.
         log.warning("row.not-base64", key=key, revision=row.ver, error=str(error))
         return Row(key, b"", Revision(row.ver))
 
@@ -210,16 +216,16 @@
     expected += [(write.key, write.expected) for write in writes if write.expected is not None]
     puts = [write for write in writes if write.value is not None]
     return {
-        "expectedRev": [{**_name(key), "ver": revision} for key, revision in expected],
+        "expectedRev": [{**_row_key(key), "ver": revision} for key, revision in expected],
         "put": [
-            {**_name(write.key), "value": base64.b64encode(write.value or b"").decode()}
+            {**_row_key(write.key), "value": base64.b64encode(write.value or b"").decode()}
             for write in puts
         ],
-        "remove": [_name(write.key) for write in writes if write.value is None],
+        "remove": [_row_key(write.key) for write in writes if write.value is None],
     }
 
 
-def _name(key: str) -> t.Dict[str, str]:
+def _row_key(key: str) -> t.Dict[str, str]:
     table, _, name = key.partition("/")
     return {"table": table, "part": "", "key": name}
 
@@ -228,10 +234,10 @@
     try:
         return _rows_decoder.decode(answer.body)
     except msgspec.MsgspecError as error:
-        raise PlatformUnavailableError(f"the store's answer can't be read: {error}") from error
+        raise PlatformUnavailableError(f"the store's answer can't be decoded: {error}") from error
 
 
-def _refusal(answer: ServerAnswer) -> PlatformError:
+def _status_error(answer: ServerAnswer) -> PlatformError:
     message = f"the store answered {answer.status}: {answer.body[:200]!r}"
     if answer.status in (429, 503):
         return PlatformUnavailableError(message, status=answer.status)
--- a/src/coralfall/settings.py
+++ b/src/coralfall/settings.py
@@ -1,4 +1,4 @@
-"""Settings of each process, read from TOML and checked whole before anything starts."""
+"""Settings of each process, read from a TOML file and validated before anything starts."""
 
 import pathlib
 import typing as t
@@ -13,100 +13,104 @@
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of all settings: immutable, and unknown keys are refused."""
+    """Base class of all settings: immutable; unknown keys are rejected."""
 
 
 class LogSettings(Settings, frozen=True):
-    """What is logged."""
+    """Logging."""
 
-    #: Least level of the events that are logged.
+    #: Minimum level of the events that are logged.
     level: t.Literal["debug", "info", "warning", "error"] = "info"
 
 
 class MetricsSettings(Settings, frozen=True):
-    """Where metrics go; without ``host`` none are sent."""
+    """Statsd server that metrics are sent to; without ``host`` none are sent."""
 
-    #: IP number or name of the statsd server; without it no metrics are sent.
+    #: IP address or host name of the statsd server; without it no metrics are sent.
     host: t.Optional[str] = None
     #: UDP port of the statsd server.
     port: int = 8125
-    #: First part of every metric's name.
+    #: Prefix of every metric's name.
     prefix: str = "coralfall"
 
 
 class PlatformSettings(Settings, frozen=True):
-    """Where the platform's services answer."""
+    """How the platform's services are reached."""
 
-    #: Base address, such as ``http://10.0.0.2:7000``.
+    #: Base URL, such as ``http://10.0.0.2:7000``.
     url: str
-    #: Seconds that a call to the platform may take.
+    #: Timeout of a call to the platform, in seconds.
     timeout_s: float = defaults.PLATFORM_TIMEOUT_S
 
 
 class PartnerSettings(Settings, frozen=True):
-    """Which keys may sign a partner's bundles and ask its operators' interface."""
+    """Keys that may sign a partner's bundles and its requests to the operators' interface."""
 
     #: Ed25519 public keys in base64, by key id.
     keys: t.Dict[KeyId, str]
 
 
 class LeaseSettings(Settings, frozen=True):
-    """Times of the lease on a place in the roster."""
+    """Timing of the lease that an entry holds on its place in the roster."""
 
-    #: Seconds for which the lease counts after its renewal was sent; the same on all entries.
+    #: Lifetime of the lease in seconds, counted from when its renewal was sent; must be the same on
+    #: all entries.
     ttl_s: float = defaults.LEASE_TTL_S
     #: Seconds between renewals of the lease.
     renew_s: float = defaults.LEASE_RENEW_INTERVAL_S
-    #: Seconds between two reads of what changed in the platform's table.
+    #: Seconds between two reads of the changes of the platform's table.
     poll_s: float = defaults.TABLE_POLL_INTERVAL_S
     #: Seconds between two reads of the platform's VM list by the coordinator.
     vm_list_s: float = defaults.VM_LIST_POLL_INTERVAL_S
 
 
 class PeerSettings(Settings, frozen=True):
-    """How entries find and trust each other."""
+    """How entries find and authenticate each other."""
 
-    #: File with the fleet's key: 32 bytes in base64, readable by its owner only.
+    #: File with the fleet's key: 32 bytes in base64. It must be readable by its owner only.
     fleet_key_file: str
-    #: Addresses to ask when the table can't be read, as ``ip:port``.
+    #: Peer addresses of entries to ask when the table can't be read, as ``ip:port``.
     seeds: t.Tuple[str, ...] = ()
     #: Seconds between two rounds of heartbeats.
     heartbeat_s: float = defaults.HEARTBEAT_INTERVAL_S
 
 
 class ClaimSettings(Settings, frozen=True):
-    """Times of the claims on idempotency keys, in seconds."""
+    """Timing of the claims on idempotency keys, in seconds."""
 
-    #: Most seconds that a command waits for its claim; then it is refused.
+    #: Maximum time in seconds that a command waits for its claim; then it is rejected.
     wait_s: float = defaults.CLAIM_TIMEOUT_S
-    #: Least seconds between two transactions of one entry.
+    #: Minimum time in seconds between two transactions of one entry.
     interval_s: float = defaults.CLAIM_MIN_INTERVAL_S
-    #: Most seconds that an answer waits for others before it is written.
+    #: Maximum time in seconds that an answer waits to be written in a batch with others.
     settle_s: float = defaults.CLAIM_BATCH_DELAY_S
 
 
 class HttpSettings(Settings, frozen=True):
-    """Bounds of an HTTP server; times in seconds."""
+    """Limits of an HTTP server; times in seconds."""
 
-    #: A head must have come within this time, and have no more bytes than that.
+    #: Maximum time until the head of a request is complete, and its maximum size in bytes.
     header_timeout_s: float = defaults.HEADER_TIMEOUT_S
     max_header_bytes: int = defaults.MAX_HEADER_BYTES
-    #: An idle connection is closed after this time, or sooner once the server stops.
+    #: Time in seconds after which an idle connection is closed, in operation and once the server
+    #: stops.
     idle_timeout_s: float = defaults.CALLER_IDLE_TIMEOUT_S
     idle_stop_s: float = defaults.SHUTDOWN_IDLE_TIMEOUT_S
     max_connections: int = defaults.MAX_CONNECTIONS
     max_idle_connections: int = defaults.MAX_IDLE_CONNECTIONS
-    #: Requests of one connection that wait behind the one being answered.
+    #: Maximum number of pipelined requests that wait behind the one being answered.
     max_pipelined: int = defaults.MAX_PIPELINED
 
 
 class RestartSettings(Settings, frozen=True):
-    """How often and how soon a supervisor restarts a child that fails."""
+    """How a supervisor restarts children that fail."""
 
-    #: Failures of a child within ``window_s`` seconds; with one more its supervisor ends.
+    #: Maximum number of failures of a child within ``window_s`` seconds; with one more its
+    #: supervisor ends.
     max_failures: int = defaults.MAX_CHILD_FAILURES
     window_s: float = defaults.CHILD_FAILURE_WINDOW_S
-    #: Most seconds before the first restart; doubled for each further one, up to the longest.
+    #: Maximum time in seconds before the first restart; doubled for each further one, up to
+    #: ``max_backoff_s``.
     backoff_s: float = defaults.RESTART_BACKOFF_S
     max_backoff_s: float = defaults.MAX_RESTART_BACKOFF_S
 
@@ -114,39 +118,39 @@
 class EntrySettings(Settings, frozen=True):
     """Settings of ``coralfall entry``."""
 
-    #: Name of the entry, unlike that of any other entry.
+    #: Name of the entry; must be unique among all entries.
     entry_id: EntryId
-    #: Name of its VM, as the platform's VM list has it.
+    #: Id of the entry's VM, as in the platform's VM list.
     vm_id: VmId
-    #: Region that the VM is in.
+    #: Region of the VM.
     region: RegionId
-    #: Availability zone that the VM is in.
+    #: Availability zone of the VM.
     zone: ZoneId
-    #: Site that the VM is at.
+    #: Site of the VM.
     site: SiteId
-    #: ``ip:port`` to listen on for callers; port 0 takes a free one.
+    #: ``ip:port`` to listen on for callers; with port 0 a free port is used.
     caller_address: str
     #: ``ip:port`` to listen on for other entries.
     peer_address: str
     #: ``ip:port`` to listen on for operators.
     operator_address: str
-    #: Where the platform's services answer.
+    #: How the platform's services are reached.
     platform: PlatformSettings
-    #: Partners whose bundles are served, by name.
+    #: Partners whose bundles are served, by partner id.
     partners: t.Dict[PartnerId, PartnerSettings]
-    #: How entries find and trust each other.
+    #: How entries find and authenticate each other.
     peers: PeerSettings
-    #: Times of the lease on a place in the roster.
+    #: Timing of the lease that the entry holds on its place in the roster.
     lease: LeaseSettings = LeaseSettings()
-    #: What is logged.
+    #: Logging.
     log: LogSettings = LogSettings()
-    #: Where metrics go.
+    #: Statsd server that metrics are sent to.
     metrics: MetricsSettings = MetricsSettings()
-    #: Seconds for which requests may still run once the entry is told to stop.
+    #: Seconds that running requests have to finish when the entry is told to stop.
     grace_s: float = defaults.GRACE_S
-    #: Seconds for which callers may use an answer to a look-up.
+    #: Seconds for which callers may cache an answer to a look-up.
     lookup_ttl_s: float = defaults.LOOKUP_TTL_S
-    #: Times of the claims on idempotency keys.
+    #: Timing of the claims on idempotency keys.
     claims: ClaimSettings = ClaimSettings()
 
 
@@ -155,9 +159,9 @@
 
     #: ``ip:port`` to listen on.
     address: str
-    #: Seconds by which the VM list lags behind what it was told.
+    #: Seconds after which a change appears in the VM list.
     vm_list_lag_s: float = 0.0
-    #: What is logged.
+    #: Logging.
     log: LogSettings = LogSettings()
 
 
@@ -166,15 +170,15 @@
 
     #: ``ip:port`` to listen on.
     address: str
-    #: Most requests at a time; more are shed.
+    #: Maximum number of concurrent requests; more are shed.
     slots: int = 6
-    #: Mean time that one request takes, in milliseconds.
+    #: Mean service time of a request, in milliseconds.
     service_ms: float = 5.0
-    #: Seconds after the start during which requests take longer.
+    #: Seconds after the start during which the target is cold and requests take longer.
     cold_s: float = 0.0
-    #: How many times longer.
+    #: Factor by which requests take longer while the target is cold.
     cold_factor: float = 5.0
-    #: What is logged.
+    #: Logging.
     log: LogSettings = LogSettings()
 
 
@@ -182,11 +186,11 @@
 
 
 def load_settings(path: pathlib.Path, model: t.Type[SettingsT]) -> SettingsT:
-    """Settings from a TOML file.
+    """Loads settings from a TOML file.
 
-    :param path: the file.
-    :param model: which process's settings to expect.
-    :raises SettingsError: with every fault found, the file's name in its message.
+    :param path: settings file.
+    :param model: settings class of the process.
+    :raises SettingsError: with every fault found; its message names the file.
     """
     try:
         raw = read_toml(path)
@@ -196,10 +200,10 @@
 
 
 def parse_settings(raw: t.Dict[str, t.Any], model: t.Type[SettingsT], name: str) -> SettingsT:
-    """Settings from a parsed TOML document.
+    """Converts a parsed TOML document to settings.
 
-    :param model: which process's settings to expect.
-    :param name: what messages call the document.
+    :param model: settings class of the process.
+    :param name: name of the document in messages.
     :raises SettingsError: with every fault found.
     """
     faults = collect_faults(raw, model)
@@ -209,15 +213,15 @@
 
 
 def settings_error(name: str, faults: t.Sequence[Fault]) -> SettingsError:
-    """The error for a document that messages call ``name``; its message states all faults."""
+    """Returns the error for the document ``name``; its message lists all faults."""
     listed = "; ".join(f"{fault.path}: {fault.message}" for fault in faults)
     return SettingsError(f"{name}: {listed}", faults)
 
 
 def split_address(address: str) -> t.Tuple[str, int]:
-    """Host and port of ``ip:port`` or ``[ip]:port``.
+    """Splits ``ip:port`` or ``[ip]:port`` into host and port.
 
-    :raises ValueError: if it is neither.
+    :raises ValueError: if ``address`` has neither form.
     """
     host, separator, port = address.rpartition(":")
     if not separator or not port.isdigit() or int(port) > 65535:
--- a/src/coralfall/tomlfile.py
+++ b/src/coralfall/tomlfile.py
@@ -1,4 +1,4 @@
-"""A TOML file as operators write it: read whole, or told why not."""
+"""Reads TOML files and reports why one can't be read."""
 
 import pathlib
 import tomllib
@@ -8,9 +8,10 @@
 
 
 def read_toml(path: pathlib.Path) -> t.Dict[str, t.Any]:
-    """The document in ``path``.
+    """Returns the parsed document in ``path``.
 
-    :raises InputError: with one fault, ``unreadable`` or ``syntax``, of the whole file.
+    :raises InputError: with one fault, ``unreadable`` or ``syntax``, that has no path within the
+        file.
     """
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
--- a/src/coralfall/validation.py
+++ b/src/coralfall/validation.py
@@ -1,4 +1,8 @@
-"""Checks untrusted mappings against typed models and reports every fault at once."""
+"""Validates untrusted data against typed models and collects all faults.
+
+msgspec stops at the first error; this module walks structs, mappings and arrays of structs itself
+and has msgspec check the leaves.
+"""
 
 import difflib
 import typing as t
@@ -11,10 +15,10 @@
 
 
 def collect_faults(raw: t.Any, model: t.Any, path: str = "") -> t.List[Fault]:
-    """Every place where ``raw`` does not fit ``model``.
+    """Returns every fault in ``raw`` that keeps it from being converted to ``model``.
 
-    :param raw: what a TOML or JSON parser returned.
-    :param model: a ``msgspec.Struct`` class, or any annotation msgspec can convert to.
+    :param raw: document from a TOML or JSON parser.
+    :param model: a ``msgspec.Struct`` class, or any other type that msgspec can convert to.
     :param path: dotted path of ``raw`` within the whole input.
     :return: faults in the order of the input; empty if ``raw`` can be converted.
     """
@@ -38,27 +42,33 @@
 
 def _struct_faults(raw: t.Any, model: t.Type[msgspec.Struct], path: str) -> t.List[Fault]:
     if not isinstance(raw, dict):
-        return [Fault(path, "wrong-type", f"found {_kind(raw)}, allowed is a table")]
+        return [Fault(path, "wrong-type", f"expected a table, found {_type_name(raw)}")]
     fields = {field.encode_name: field for field in msgspec.structs.fields(model)}
     faults = []
     for name in raw:
         if name in fields:
             continue
-        faults.append(Fault(_join(path, str(name)), "unknown-field", _hint(str(name), fields)))
+        faults.append(
+            Fault(
+                _join_path(path, str(name)),
+                "unknown-field",
+                _unknown_field_message(str(name), fields),
+            )
+        )
     for name, field in fields.items():
         value = raw.get(name, _MISSING)
         if value is not _MISSING:
-            faults += collect_faults(value, field.type, _join(path, name))
+            faults += collect_faults(value, field.type, _join_path(path, name))
             continue
         if field.required:
-            faults.append(Fault(_join(path, name), "missing-field", "is required"))
+            faults.append(Fault(_join_path(path, name), "missing-field", "is required"))
     return faults
 
 
 def _mapping_faults(raw: t.Dict[t.Any, t.Any], model: t.Any, path: str) -> t.List[Fault]:
     faults: t.List[Fault] = []
     for key, value in raw.items():
-        faults += collect_faults(value, model, _join(path, str(key)))
+        faults += collect_faults(value, model, _join_path(path, str(key)))
     return faults
 
 
@@ -72,17 +82,17 @@
     return []
 
 
-def _hint(name: str, fields: t.Iterable[str]) -> str:
+def _unknown_field_message(name: str, fields: t.Iterable[str]) -> str:
     close = difflib.get_close_matches(name, list(fields), n=1)
     if close:
         return f"is not known; did you mean {close[0]!r}?"
     return f"is not known; allowed are {', '.join(sorted(fields))}"
 
 
-def _kind(value: t.Any) -> str:
+def _type_name(value: t.Any) -> str:
     names: t.Dict[type, str] = {dict: "a table", list: "an array", str: "a string"}
     return names.get(type(value), repr(value))
 
 
-def _join(path: str, name: str) -> str:
+def _join_path(path: str, name: str) -> str:
     return f"{path}.{name}" if path else name
--- a/tests/platform_adapter/standins.py
+++ b/tests/platform_adapter/standins.py
@@ -1,4 +1,7 @@
-"""Stand-ins of the platform's store and of an instance, by the platform's pages, on loopback."""
+"""Stand-ins for the platform's store and for an instance (a target), listening on loopback.
+
+They follow the platform's specification of its HTTP interfaces and rows.
+"""
 
 import asyncio
 import base64
@@ -17,19 +20,20 @@
 
 
 class StoreStandin:
-    """The store: rows, transactions, feeds, and its ways to fail.
+    """In-memory store with rows, transactions, feeds and selectable failures.
 
-    :ivar mode: ``ok``, ``busy`` (503), ``many`` (429), ``silent`` (no answer), ``lost`` (writes are
-        done and not answered) or ``late`` (they are done a little later, and not answered).
+    :ivar mode: ``ok``, ``busy`` (503), ``many`` (429), ``silent`` (no answer), ``lost`` (writes
+        take effect but are not answered) or ``late`` (writes take effect after a delay and are not
+        answered).
     """
 
     def __init__(self) -> None:
         self.mode = "ok"
         self.revision = 0
         self.oldest_revision = 0
-        #: Callers' addresses whose connections are open and take nothing in any more.
-        self._silenced: t.Set[t.Any] = set()
-        self._callers: t.Set[t.Any] = set()
+        #: Client addresses of open connections on which nothing is answered any more.
+        self._silenced_addresses: t.Set[t.Any] = set()
+        self._client_addresses: t.Set[t.Any] = set()
         self.calls: t.List[str] = []
         self._rows: t.Dict[RowKey, t.Dict[str, t.Any]] = {}
         self._changed = asyncio.Event()
@@ -44,14 +48,14 @@
         return self
 
     async def __aexit__(self, *_error: t.Any) -> None:
-        # Calls that are not answered end when their caller leaves.
+        # Unanswered calls end only when their connection does.
         for connection in list(self._server._connections.all):
             connection.transport.abort()
         await asyncio.sleep(0.01)
         self._server._close()
 
     def put(self, table: str, key: str, value: t.Any) -> None:
-        """Write a row as the operator or an instance does."""
+        """Writes a row as the operator or an instance does."""
         data = base64.b64encode(json.dumps(value).encode()).decode()
         self._apply([{"table": table, "part": "", "key": key, "value": data}], [])
 
@@ -64,54 +68,56 @@
         )
 
     def drop_history(self) -> None:
-        """Drop all history."""
+        """Discards all history, so that feeds from older revisions get 410."""
         self.oldest_revision = self.revision
 
     def silence_open_connections(self) -> None:
-        """Answer nothing on the connections that are open now; new ones work."""
-        self._silenced |= self._callers
+        """Answers nothing on connections that are open now; new connections work."""
+        self._silenced_addresses |= self._client_addresses
 
     async def __call__(self, scope: "Scope", receive: "Receive", send: "Send") -> None:
         try:
             await self._serve(scope, receive, send)
         except asyncio.CancelledError:
-            # The stand-in is closed; a call that still waits gets no answer.
+            # The stand-in is being closed; calls that still wait get no answer.
             return
 
     async def _serve(self, scope: "Scope", receive: "Receive", send: "Send") -> None:
         path = scope["path"]
         self.calls.append(path)
-        self._callers.add(scope["client"])
-        body = await _whole(receive)
+        self._client_addresses.add(scope["client"])
+        body = await _read_body(receive)
         if self.mode in ("busy", "many"):
-            await _answer(send, 503 if self.mode == "busy" else 429, {"error": self.mode})
+            await _send_response(send, 503 if self.mode == "busy" else 429, {"error": self.mode})
             return
-        if self.mode == "silent" or scope["client"] in self._silenced:
-            await _until_gone(receive)
+        if self.mode == "silent" or scope["client"] in self._silenced_addresses:
+            await _wait_disconnected(receive)
             return
         query = dict(urllib.parse.parse_qsl(scope["query_string"].decode()))
         if path == "/v1/rows-tx":
             await self._transact(json.loads(body), receive, send)
         elif path == "/v1/rows-get":
-            await _answer(send, 200, self._get(query))
+            await _send_response(send, 200, self._get(query))
         elif path == "/v1/rows-feed":
             await self._feed(query, send)
         else:
-            await _answer(send, 404, {})
+            await _send_response(send, 404, {})
 
     async def _transact(self, call: t.Dict[str, t.Any], receive: "Receive", send: "Send") -> None:
         if self.mode == "late":
             await asyncio.sleep(0.2)
         for expected in call["expectedRev"]:
-            row = self._rows.get(_key_of(expected), {})
+            row = self._rows.get(_row_key(expected), {})
             if row.get("ver", 0) != expected["ver"]:
-                await _answer(send, 412, {**self._stamp(), "rows": [row] if row else []})
+                await _send_response(
+                    send, 412, {**self._revision_and_time(), "rows": [row] if row else []}
+                )
                 return
         self._apply(call["put"], call["remove"])
         if self.mode in ("lost", "late"):
-            await _until_gone(receive)
+            await _wait_disconnected(receive)
             return
-        await _answer(send, 200, self._stamp())
+        await _send_response(send, 200, self._revision_and_time())
 
     def _get(self, query: t.Dict[str, str]) -> t.Dict[str, t.Any]:
         rows = [
@@ -120,14 +126,14 @@
             if key[0] == query["table"] and "value" in row and key[2] >= query.get("from", "")
         ]
         limit = int(query.get("limit", 500))
-        return {**self._stamp(), "rows": rows[:limit], "hasMore": len(rows) > limit}
+        return {**self._revision_and_time(), "rows": rows[:limit], "hasMore": len(rows) > limit}
 
     async def _feed(self, query: t.Dict[str, str], send: "Send") -> None:
         after = int(query["after"])
         if after < self.oldest_revision:
-            await _answer(send, 410, {})
+            await _send_response(send, 410, {})
             return
-        rows = self._after(query["table"], after)
+        rows = self._rows_after(query["table"], after)
         wait_s = int(query.get("waitMs", 0)) / 1000
         if not rows and wait_s:
             try:
@@ -135,34 +141,34 @@
                     while not rows:
                         self._changed.clear()
                         await self._changed.wait()
-                        rows = self._after(query["table"], after)
+                        rows = self._rows_after(query["table"], after)
             except TimeoutError:
-                # Something may have been written since: rows and `ver` are of one moment.
-                rows = self._after(query["table"], after)
-        await _answer(send, 200, {**self._stamp(), "rows": rows})
+                # Rows may have been written since; rows and `ver` must be of the same moment.
+                rows = self._rows_after(query["table"], after)
+        await _send_response(send, 200, {**self._revision_and_time(), "rows": rows})
 
-    def _after(self, table: str, after: int) -> t.List[t.Dict[str, t.Any]]:
+    def _rows_after(self, table: str, after: int) -> t.List[t.Dict[str, t.Any]]:
         rows = [row for key, row in self._rows.items() if key[0] == table and row["ver"] > after]
         return sorted(rows, key=lambda row: row["ver"])
 
     def _apply(self, puts: t.List[t.Dict[str, t.Any]], removes: t.List[t.Dict[str, t.Any]]) -> None:
         self.revision += 1
         for row in puts:
-            self._rows[_key_of(row)] = {**row, "ver": self.revision}
+            self._rows[_row_key(row)] = {**row, "ver": self.revision}
         for row in removes:
-            self._rows[_key_of(row)] = {**row, "ver": self.revision, "deleted": True}
+            self._rows[_row_key(row)] = {**row, "ver": self.revision, "deleted": True}
         self._changed.set()
 
-    def _stamp(self) -> t.Dict[str, t.Any]:
-        # Some clock that only rises; it need not show what anybody else's shows.
+    def _revision_and_time(self) -> t.Dict[str, t.Any]:
+        # A monotonic clock; the store's clock need not agree with any other.
         return {"ver": self.revision, "nowS": time.monotonic() + 1000.0}
 
 
-def _key_of(row: t.Dict[str, t.Any]) -> RowKey:
+def _row_key(row: t.Dict[str, t.Any]) -> RowKey:
     return row["table"], row.get("part", ""), row["key"]
 
 
-async def _whole(receive: "Receive") -> bytes:
+async def _read_body(receive: "Receive") -> bytes:
     body = b""
     while True:
         message = await receive()
@@ -171,12 +177,12 @@
             return body
 
 
-async def _until_gone(receive: "Receive") -> None:
+async def _wait_disconnected(receive: "Receive") -> None:
     while (await receive())["type"] != "http.disconnect":
         continue
 
 
-async def _answer(send: "Send", status: int, content: t.Dict[str, t.Any]) -> None:
+async def _send_response(send: "Send", status: int, content: t.Dict[str, t.Any]) -> None:
     body = json.dumps(content).encode()
     headers = [(b"content-length", str(len(body)).encode())]
     await send({"type": "http.response.start", "status": status, "headers": headers})
@@ -184,30 +190,29 @@
 
 
 class InstanceStandin(RawTarget):
-    """An instance: it checks who is meant, counts what it runs, and answers with its signature.
+    """Instance that checks the expected target, records requests and signs its answers.
 
-    :param instance_id: its id.
+    :param instance_id: id of the instance.
     """
 
     def __init__(self, instance_id: str) -> None:
         super().__init__(self._run)
         self.instance_id = instance_id
         self.executed_ids: t.List[str] = []
-        #: When each request came, and their ids.
+        #: Time of arrival and id of each request, in order.
         self.received_at: t.List[float] = []
         self.received_ids: t.List[str] = []
-        #: Seconds that a request takes.
+        #: Service time of a request in seconds.
         self.service_time_s = 0.0
-        #: Requests a second that it takes from all entries together, as its answers name them.
+        #: Rate limit over all entries that its answers announce, in requests per second.
         self.limit_per_s: t.Optional[float] = None
-        #: Whether its answers say that it leaves.
+        #: Whether its answers announce that it is leaving.
         self.leaving = False
-        #: Seconds without requests that it asks for with each request that it rejects, which are
-        #: all while this is set.
+        #: Cooldown in seconds that it asks for in its answers; while set, it rejects all requests.
         self.cooldown_s: t.Optional[float] = None
 
     def row(self, service: str, zone: str, **status: t.Any) -> t.Dict[str, t.Any]:
-        """Its row in the store."""
+        """Returns the instance's row in the store."""
         return {
             "address": self.address,
             "info": {"service": service, "version": "v1", "zone": zone, "concurrency": 6},
@@ -236,7 +241,10 @@
 
 
 def config(version: int, **changes: t.Any) -> t.Dict[str, t.Any]:
-    """A desired state as the operator writes it, with one route; ``changes`` are of the route."""
+    """Returns a desired state as the operator writes it, with one route.
+
+    :param changes: fields of the route that replace the defaults.
+    """
     route = {
         "name": "r1",
         "host": "a.example",
--- a/tests/platform_adapter/test_documented_words.py
+++ b/tests/platform_adapter/test_documented_words.py
@@ -19,7 +19,7 @@
 #: Structs that decode what is said, whose fields all have to be listed.
 _DECODED = (
     rows._Route,
-    rows._Part,
+    rows._Backend,
     rows._Tenant,
     rows._Service,
     rows._Limits,
--- a/tests/platform_adapter/test_tenant_processes.py
+++ b/tests/platform_adapter/test_tenant_processes.py
@@ -1,4 +1,4 @@
-"""Tenants and their keys at entries that run as processes: added, taken away, and never told."""
+"""Tests of tenants at entries that run as processes: rate limits, key changes, key secrecy."""
 
 import signal
 import typing as t
@@ -9,12 +9,12 @@
 
 KEY = "sesame-1"
 NEW_KEY = "sesame-2"
-#: All keys begin so, and so does nothing else.
-SECRET = "sesame"
+#: Prefix of all keys, which occurs nowhere else.
+KEY_PREFIX = "sesame"
 
 
 def tenant(*keys: str, **changes: t.Any) -> t.Dict[str, t.Any]:
-    """A tenant as the operator writes it."""
+    """Returns a tenant as the operator writes it."""
     return {"name": "acme", "apiKeys": list(keys), **changes}
 
 
@@ -25,7 +25,7 @@
 
 
 class LimitTest(unittest.TestCase):
-    def test_all_entries_together_keep_a_limit(self) -> None:
+    def test_limit_holds_over_all_entries(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             statuses: t.List[int] = []
             for number in range(120):
@@ -33,22 +33,22 @@
                 statuses.append((await installation.request(entry, key=KEY))[0])
             answered = statuses.count(200)
             self.assertEqual({200, 429}, set(statuses) - {503})
-            # (rate x window + burst) x 1.1 + 20 in a window; the requests take less than one.
+            # Bound per window: (rate x window + burst) x 1.1 + 20. All requests fit into one window.
             self.assertLessEqual(answered, (1 * 5 + 1) * 1.1 + 20)
             _, _, request_id = await installation.request(installation.entries[0], key=KEY)
 
-            async def told() -> bool:
+            async def is_logged() -> bool:
                 lines = installation.entries[0].log.read_text().splitlines()
                 ended = [line for line in lines if f"id={request_id} " in line]
                 return any("reason=over-limit" in line and "quota=e" in line for line in ended)
 
-            await installation.wait_until("the line says who counted", told)
+            await installation.wait_until("the log line names the quota owner", is_logged)
             _, text = await installation.get(installation.entries[0].ports["metrics"], "/metrics")
             self.assertIn('tenant_requests_total{status="429",tenant="acme"}', text.decode())
 
         run_scenario(scenario, tenants=[tenant(KEY, ratePerS=1, burst=1)])
 
-    def test_a_tenant_below_its_limit_is_refused_nothing_by_others_beyond_theirs(self) -> None:
+    def test_tenant_over_its_limit_does_not_affect_another(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             statuses: t.List[int] = []
             await installation.wait_until_status(200, key="sesame-bolt")
@@ -64,7 +64,7 @@
 
 
 class KeysTest(unittest.TestCase):
-    def test_keys_come_and_go_and_are_told_nowhere(self) -> None:
+    def test_key_changes_take_effect_and_keys_are_not_logged(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             for entry in installation.entries:
                 self.assertEqual(200, (await installation.request(entry, key=KEY))[0])
@@ -76,25 +76,25 @@
             await installation.wait_until_status(401, key=KEY)
             put_tenants(installation, 4, tenant())
             await installation.wait_until_status(401, key=NEW_KEY)
-            # Unreadable: two tenants hold one key. What was in force stays so.
+            # Invalid, since two tenants share a key: the previous state stays in force.
             put_tenants(installation, 5, tenant(KEY), {"name": "bolt", "apiKeys": [KEY]})
 
-            async def unreadable() -> bool:
+            async def is_reported() -> bool:
                 return "row.unreadable" in installation.entries[0].log.read_text()
 
-            await installation.wait_until("it is told", unreadable)
+            await installation.wait_until("the invalid row is logged", is_reported)
             self.assertEqual(401, (await installation.request(installation.entries[0], key=KEY))[0])
 
-            told = "".join([entry.log.read_text() for entry in installation.entries])
+            output = "".join([entry.log.read_text() for entry in installation.entries])
             for entry in installation.entries:
-                told += (await installation.get(entry.ports["metrics"], "/metrics"))[1].decode()
-            self.assertIn("reason=unknown-key", told)
-            self.assertIn("tenant=acme", told)
-            self.assertNotIn(SECRET, told)
+                output += (await installation.get(entry.ports["metrics"], "/metrics"))[1].decode()
+            self.assertIn("reason=unknown-key", output)
+            self.assertIn("tenant=acme", output)
+            self.assertNotIn(KEY_PREFIX, output)
 
         run_scenario(scenario, tenants=[tenant(KEY)])
 
-    def test_an_entry_that_was_killed_comes_back_with_the_newest_keys(self) -> None:
+    def test_restarted_entry_has_current_keys(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             first = installation.entries[0]
             first.signal(signal.SIGKILL)
@@ -107,36 +107,38 @@
 
         run_scenario(scenario, tenants=[tenant(KEY)])
 
-    def test_one_that_the_store_turns_away_hears_of_a_key_from_the_others(self) -> None:
+    def test_entry_rejected_by_the_store_learns_keys_from_peers(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
-            late = installation.entries[0]
-            late.signal(signal.SIGSTOP)
+            paused = installation.entries[0]
+            paused.signal(signal.SIGSTOP)
             put_tenants(installation, 2, tenant(NEW_KEY))
 
-            async def known() -> bool:
+            async def others_updated() -> bool:
                 return (await installation.request(installation.entries[1], key=NEW_KEY))[0] == 200
 
-            await installation.wait_until("the others know", known)
+            await installation.wait_until("the other entries accept the new key", others_updated)
             installation.store.mode = "busy"
-            late.signal(signal.SIGCONT)
+            paused.signal(signal.SIGCONT)
             await installation.wait_until_status(401, key=KEY)
             await installation.wait_until_status(200, key=NEW_KEY)
 
         run_scenario(scenario, tenants=[tenant(KEY)])
 
-    def test_an_entry_that_hears_nothing_denies_no_key(self) -> None:
+    def test_isolated_entry_does_not_reject_unknown_keys_for_good(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             installation.store.mode = "silent"
 
-            async def unsure(entry: EntryProcess = installation.entries[0]) -> bool:
+            async def answers_unavailable(entry: EntryProcess = installation.entries[0]) -> bool:
                 return (await installation.request(entry, key=NEW_KEY))[0] == 503
 
-            await installation.wait_until("an unknown key may be new", unsure)
+            await installation.wait_until(
+                "an unknown key, which may be new, is answered 503", answers_unavailable
+            )
             self.assertEqual(200, (await installation.request(installation.entries[0], key=KEY))[0])
 
         run_scenario(scenario, entries=1, tenants=[tenant(KEY)])
 
-    def test_a_public_route_needs_no_key(self) -> None:
+    def test_public_route_needs_no_key(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             self.assertEqual(200, (await installation.request(installation.entries[0]))[0])
 
