--- a/src/coralfall/platform/rows.py
+++ b/src/coralfall/platform/rows.py
@@ -32,11 +32,7 @@
 _ANY_REGION: t.FrozenSet[RegionId] = frozenset()
 #: Visible ASCII, since a tenant's name is sent in a header.
 _TENANT_NAME = re.compile(r"[!-~]+")
-_KIND_BY_NAME = {
-    "safe": RequestKind.SAFE,
-    "unsafe": RequestKind.UNSAFE,
-    "upload": RequestKind.UPLOAD,
-}
+_KINDS = {"safe": RequestKind.SAFE, "unsafe": RequestKind.UNSAFE, "upload": RequestKind.UPLOAD}
 
 
 class _Backend(msgspec.Struct):
@@ -149,11 +145,7 @@
         if born is not None:
             self._keys_with_born.add(key)
         elif key in self._keys_with_born:
-            raise DesiredStateError(
-                f"{key} can't be read: `born` is missing, earlier rows of the target had it",
-                key=key,
-                field="born",
-            )
+            raise DesiredStateError(f"{key} can't be read: `born` missing", key=key, field="born")
         return Target(
             target_id=TargetId(key.removeprefix(self.target_prefix)),
             service=ServiceId(server.info.service),
@@ -276,11 +268,9 @@
 
 
 def _route(route: _Route) -> Route:
-    kind = _KIND_BY_NAME.get(route.kind)
+    kind = _KINDS.get(route.kind)
     if kind is None:
-        message = (
-            f"route {route.name}: kind {route.kind!r} is not known; allowed: {list(_KIND_BY_NAME)}"
-        )
+        message = f"route {route.name}: kind {route.kind!r} is not known; allowed: {list(_KINDS)}"
         raise DesiredStateError(message, field="kind")
     backends = [Backend(ServiceId(backend.service), backend.weight) for backend in route.backends]
     if route.service is not None:
--- a/src/coralfall/platform/store.py
+++ b/src/coralfall/platform/store.py
@@ -93,9 +93,7 @@
         self, prefixes: t.Sequence[str], since: Revision, limit: t.Optional[int] = None
     ) -> Changes:
         if len(prefixes) != 1:
-            raise PlatformRejectedError(
-                "the platform's store returns changes of one table at a time"
-            )
+            raise PlatformRejectedError("the platform's store returns changes of one table only")
         if since:
             return await self.follow(prefixes[0], since, 0.0)
         return await self.snapshot(prefixes[0])
@@ -127,9 +125,7 @@
         target = f"{path}?{urllib.parse.urlencode(query)}"
         answer = await self._get(target, wait_s)
         if answer.status == _STATUS_HISTORY_LOST:
-            raise HistoryLostError(
-                "the platform's store no longer has the changes since that revision"
-            )
+            raise HistoryLostError("the platform's store no longer has the changes since then")
         if answer.status != 200:
             raise _status_error(answer)
         return _decode(answer)
--- a/tests/platform_adapter/test_adapter.py
+++ b/tests/platform_adapter/test_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter: rows, the store's ways to answer, the template, and what stays outside."""
+"""Tests of the platform adapter: row codec, store client, settings template, package boundary."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
 from tests.traffic.makers import make_record
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
-#: Names that only the folder platform/ may know.
+#: Names that may occur in the package ``platform`` only.
 PLATFORM_NAMES = (
     "X-Request-Deadline|x-request-deadline|x-expected-instance|x-not-executed|x-server-load"
     "|x-response-signature|x-affinity-key|rows-tx|rows-get|rows-feed|rows-parts|blob-put"
@@ -46,10 +46,10 @@
 )
 
 
-def filled_in(section: str) -> t.Dict[str, t.Any]:
-    """The template of an entry's settings with each value as 1.
+def render_template(section: str) -> t.Dict[str, t.Any]:
+    """Renders the template of an entry's settings with 1 for each value.
 
-    :param section: what becomes of a section, with its content as the first group.
+    :param section: replacement for each section, with the section's content as group 1.
     """
     text = (ROOT / "deploy" / "entry.toml").read_text()
     text = re.sub(r"\{\{#[\w.]+\}\}(.*?)\{\{/[\w.]+\}\}", section, text, flags=re.DOTALL)
@@ -59,12 +59,12 @@
 
 
 def tenants_row(tenants: t.List[t.Dict[str, t.Any]]) -> bytes:
-    """A desired state with these tenants, as the operator writes it."""
+    """Returns a desired state with the given tenants, as the operator writes it."""
     return json.dumps({**config(1), "tenants": tenants}).encode()
 
 
-class FolderTest(unittest.TestCase):
-    def test_nothing_outside_knows_the_platform_s_names(self) -> None:
+class PackageBoundaryTest(unittest.TestCase):
+    def test_platform_names_occur_in_this_package_only(self) -> None:
         found = []
         sources = [*(ROOT / "src" / "coralfall").rglob("*.py"), *(ROOT / "benchmarks").glob("*.py")]
         for path in sorted(sources):
@@ -74,27 +74,27 @@
                 found.append((path.name, name))
         self.assertEqual([], found)
 
-    def test_the_folder_only_translates(self) -> None:
+    def test_package_stays_small(self) -> None:
         lines = 0
         for path in (ROOT / "src" / "coralfall" / "platform").glob("*.py"):
             lines += len([line for line in path.read_text().splitlines() if line.strip()])
         self.assertLess(lines, 600)
 
-    def test_the_template_fills_in_valid_toml(self) -> None:
-        filled = filled_in(r"\1")
-        self.assertIn("entry_id", filled)
+    def test_template_renders_to_valid_toml(self) -> None:
+        rendered = render_template(r"\1")
+        self.assertIn("entry_id", rendered)
         fields = {field.name for field in msgspec.structs.fields(BoundSettings)}
-        self.assertEqual(fields, set(filled["bounds"]))
+        self.assertEqual(fields, set(rendered["bounds"]))
 
-    def test_a_bound_that_an_installation_does_not_have_is_left_out(self) -> None:
-        """Which bounds there are depends on the rules in force; the rest have their defaults."""
-        self.assertEqual({}, filled_in("")["bounds"])
+    def test_missing_bounds_are_left_out(self) -> None:
+        """Which bounds are given depends on the rules in force; the others keep their defaults."""
+        self.assertEqual({}, render_template("")["bounds"])
 
 
 class RowsTest(unittest.TestCase):
     row_codec = PlatformRowCodec()
 
-    def test_a_desired_state(self) -> None:
+    def test_desired_state(self) -> None:
         state = self.row_codec.decode_state_row("op/config", json.dumps(config(7)).encode())
         assert isinstance(state, DesiredState)
         route = state.routes[0]
@@ -119,10 +119,10 @@
             ("no service", json.dumps(config(1, service=None)).encode(), "neither a service"),
         ]
     )
-    def test_a_desired_state_that_can_t_be_read(self, _name: str, data: bytes, told: str) -> None:
+    def test_invalid_desired_state(self, _name: str, data: bytes, expected: str) -> None:
         with self.assertRaises(DesiredStateError) as caught:
             self.row_codec.decode_state_row("op/config", data)
-        self.assertIn(told, caught.exception.message)
+        self.assertIn(expected, caught.exception.message)
 
     def test_tenants(self) -> None:
         rows = [
@@ -169,12 +169,12 @@
             ("regions as text", [{"name": "a", "allowedRegions": "sierra"}], "allowedRegions"),
         ]
     )
-    def test_tenants_that_can_t_be_read(
-        self, _name: str, rows: t.List[t.Dict[str, t.Any]], told: str
+    def test_invalid_tenants(
+        self, _name: str, rows: t.List[t.Dict[str, t.Any]], expected: str
     ) -> None:
         with self.assertRaises(DesiredStateError) as caught:
             self.row_codec.decode_state_row("op/config", tenants_row(rows))
-        self.assertIn(told, caught.exception.message)
+        self.assertIn(expected, caught.exception.message)
         self.assertNotIn("sesame", str(caught.exception.as_dict()))
 
     def test_other_rows(self) -> None:
@@ -183,7 +183,7 @@
         )
         self.assertIsNone(self.row_codec.decode_state_row("op/something", b"{}"))
 
-    def test_a_target(self) -> None:
+    def test_decode_target(self) -> None:
         row = {
             "address": "10.0.0.1:1",
             "info": {"service": "s", "version": "v", "zone": "z", "concurrency": 6},
@@ -221,21 +221,21 @@
             ("half a birth", ("born",), 1.5, "$.born"),
         ]
     )
-    def test_a_target_that_can_t_be_read(
-        self, _name: str, path: t.Sequence[str], value: t.Any, told: str
+    def test_invalid_target(
+        self, _name: str, path: t.Sequence[str], value: t.Any, expected: str
     ) -> None:
         row = target_row(born=1_700_000_000_000)
-        place = row
+        parent = row
         for name in path[:-1]:
-            place = place[name]
-        place[path[-1]] = value
+            parent = parent[name]
+        parent[path[-1]] = value
         if value is None:
-            del place[path[-1]]
+            del parent[path[-1]]
         with self.assertRaises(DesiredStateError) as caught:
             self.row_codec.decode_target_row("servers/i-1", json.dumps(row).encode())
-        self.assertIn(told, caught.exception.message)
+        self.assertIn(expected, caught.exception.message)
 
-    def test_a_target_that_told_its_birth_always_does(self) -> None:
+    def test_born_is_required_once_it_was_written(self) -> None:
         row_codec = PlatformRowCodec()
         plain = json.dumps(target_row()).encode()
         self.assertIsNone(row_codec.decode_target_row("servers/i-1", plain).born)
@@ -260,7 +260,7 @@
         )
     )
     @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
-    def test_whatever_bytes_come_a_row_is_read_or_refused(self, data: bytes) -> None:
+    def test_random_bytes_are_decoded_or_rejected(self, data: bytes) -> None:
         for read in (
             lambda: self.row_codec.decode_target_row("servers/i-1", data),
             lambda: self.row_codec.decode_state_row("op/config", data),
@@ -273,27 +273,30 @@
 
     @hypothesis.given(position=st.integers(0, 200), byte=st.integers(0, 255))
     @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
-    def test_one_changed_byte_hides_no_other_row(self, position: int, byte: int) -> None:
+    def test_corrupt_row_does_not_affect_others(self, position: int, byte: int) -> None:
         good = json.dumps(target_row(born=5)).encode()
-        at = position % len(good)
-        foreign = good[:at] + bytes([byte]) + good[at + 1 :]
+        index = position % len(good)
+        corrupt = good[:index] + bytes([byte]) + good[index + 1 :]
         replica = Replica("targets", PlatformRowCodec().decode_target_row, drops_unreadable=True)
         rows = [
             Row("servers/i-1", good, Revision(1)),
-            Row("servers/i-2", foreign, Revision(2)),
+            Row("servers/i-2", corrupt, Revision(2)),
             Row("servers/i-3", good, Revision(3)),
         ]
         replica.apply_changes(rows, Revision(3), 1.0)
         self.assertLessEqual({"servers/i-1", "servers/i-3"}, set(replica.values()))
 
-    def test_an_entry_s_own_row(self) -> None:
+    def test_entry_row_round_trip(self) -> None:
         record = make_record("e1")
         key, data = self.row_codec.encode_entry_row(record)
         self.assertEqual(record, self.row_codec.decode_entry_row(key, data))
 
 
 def target_row(**fields: t.Any) -> t.Dict[str, t.Any]:
-    """A target's row as it writes it, with further fields."""
+    """Returns a target's row as the target writes it.
+
+    :param fields: fields to replace or add.
+    """
     return {
         "address": "10.0.0.1:1",
         "info": {"service": "s", "version": "v", "zone": "z", "concurrency": 6},
@@ -302,78 +305,78 @@
     }
 
 
-Work = t.Callable[[StoreStandin, RowStore], t.Awaitable[t.Any]]
+Scenario = t.Callable[[StoreStandin, RowStore], t.Awaitable[t.Any]]
 
 
-def with_store(work: Work, timeout_s: float = 0.3) -> t.Any:
-    """The result of some calls to a stand-in of the store."""
+def run_with_store(scenario: Scenario, timeout_s: float = 0.3) -> t.Any:
+    """Runs a scenario with a stand-in for the store and a client, and returns its result."""
 
     async def main() -> t.Any:
         async with StoreStandin() as standin:
             store = RowStore(StoreSettings(address=standin.address, timeout_s=timeout_s))
-            return await work(standin, store)
+            return await scenario(standin, store)
 
     return asyncio.run(main())
 
 
 class StandinTest(unittest.TestCase):
-    """What the stand-in of the store tells is of one moment."""
+    """The stand-in's answers are consistent: rows and revision are of the same moment."""
 
-    def test_a_write_as_the_wait_of_a_feed_ends_is_told(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_write_at_the_end_of_a_feed_wait_is_included(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             standin.put("op", "config", config(1))
             following = asyncio.create_task(store.follow("op/", Revision(1), 0.1))
             while not standin.calls:  # noqa: ASYNC110
                 await asyncio.sleep(0.005)
             loop = asyncio.get_running_loop()
-            # The loop stands still until both are due: the end of the wait, then the write.
+            # Block the loop until both are due: the end of the wait, then the write.
             loop.call_later(0.15, standin.put, "op", "config", config(2))
             loop.call_later(0.02, time.sleep, 0.2)
             return await following
 
-        changes = with_store(work, timeout_s=5.0)
+        changes = run_with_store(scenario, timeout_s=5.0)
         self.assertEqual(changes.revision, max([row.revision for row in changes.rows], default=1))
 
 
 class SilentConnectionsTest(unittest.TestCase):
-    """Open connections to the store go silent for good, while new ones work."""
+    """Open connections to the store stop transmitting for good, while new ones work."""
 
-    def test_a_read_is_made_again_on_a_new_connection(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_read_is_retried_on_a_new_connection(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             standin.put("op", "config", config(1))
             await asyncio.gather(*[store.follow("op/", Revision(1), 0.05) for _ in range(2)])
             standin.silence_open_connections()
             before = len(standin.calls)
             rows = (await store.snapshot("op/")).rows
             await store.snapshot("op/")
-            # One call is lost with its connection; the other connection is not tried in vain.
+            # One call fails with its connection; the other idle connection is not tried.
             return len(rows), len(standin.calls) - before, store.calls
 
-        self.assertEqual((1, 3, 5), with_store(work, timeout_s=5.0))
+        self.assertEqual((1, 3, 5), run_with_store(scenario, timeout_s=5.0))
 
-    def test_a_write_does_not_go_on_a_connection_that_may_be_silent(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_write_uses_a_new_connection(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             await store.snapshot("op/")
             standin.silence_open_connections()
             return await store.transact([Write("mine/a", b"1")])
 
-        self.assertTrue(with_store(work).committed)
+        self.assertTrue(run_with_store(scenario).committed)
 
-    def test_the_kernel_is_told_when_to_give_up(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_tcp_user_timeout_is_set(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             connection = await connect(standin.address, 1.0, 1000)
             assert connection._transport is not None
-            opened = connection._transport.get_extra_info("socket")
-            told = opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
+            raw_socket = connection._transport.get_extra_info("socket")
+            timeout_ms = raw_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
             connection.abort()
-            return told
+            return timeout_ms
 
-        self.assertEqual(defaults.TCP_USER_TIMEOUT_S * 1000, with_store(work))
+        self.assertEqual(defaults.TCP_USER_TIMEOUT_S * 1000, run_with_store(scenario))
 
 
 class StoreTest(unittest.TestCase):
-    def test_rows_come_back_with_their_revisions(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_rows_are_written_and_read(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             await store.transact([Write("mine/a", b"1"), Write("mine/b", b"2")])
             await store.transact([Write("mine/a", None)])
             before = await store.snapshot("mine/")
@@ -381,38 +384,38 @@
             after = await store.follow("mine/", before.revision, 0.0)
             return before, after, await store.read(["mine/b", "mine/x"])
 
-        before, after, read = with_store(work)
+        before, after, read = run_with_store(scenario)
         self.assertEqual([("mine/b", b"2")], [(row.key, row.value) for row in before.rows])
         self.assertEqual([("mine/c", b"3")], [(row.key, row.value) for row in after.rows])
         self.assertEqual(["mine/b"], list(read))
 
-    def test_a_deletion_is_told(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_follow_returns_deletions(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             standin.put("op", "config", config(1))
             before = await store.snapshot("op/")
             standin.remove("op", "config")
             return await store.follow("op/", before.revision, 0.0)
 
-        changes = with_store(work)
+        changes = run_with_store(scenario)
         self.assertEqual([("op/config", None)], [(row.key, row.value) for row in changes.rows])
 
-    def test_many_rows_come_in_pages(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_snapshot_reads_all_pages(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             for number in range(1200):
                 standin.put("servers", f"i-{number:05}", {})
             return await store.snapshot("servers/")
 
-        self.assertEqual(1200, len({row.key for row in with_store(work).rows}))
+        self.assertEqual(1200, len({row.key for row in run_with_store(scenario).rows}))
 
-    def test_a_feed_waits_for_a_change(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_follow_waits_for_a_change(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             standin.put("op", "config", config(1))
             read = asyncio.create_task(store.follow("op/", Revision(1), 5.0))
             await asyncio.sleep(0.05)
             standin.put("op", "config", config(2))
             return await read
 
-        self.assertEqual(1, len(with_store(work).rows))
+        self.assertEqual(1, len(run_with_store(scenario).rows))
 
     @parameterized.expand(
         [
@@ -420,22 +423,22 @@
             ("condition broken", 7, False),
         ]
     )
-    def test_a_condition(self, _name: str, expected: int, committed: bool) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_transaction_condition(self, _name: str, expected: int, committed: bool) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             checks = [Check("mine/a", Revision(expected))]
             return await store.transact([Write("mine/b", b"2")], checks)
 
-        self.assertEqual(committed, with_store(work).committed)
+        self.assertEqual(committed, run_with_store(scenario).committed)
 
-    def test_lost_history(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> None:
+    def test_discarded_history(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> None:
             standin.put("op", "config", config(1))
             standin.put("op", "config", config(2))
             standin.drop_history()
             await store.follow("op/", Revision(1), 0.0)
 
         with self.assertRaises(HistoryLostError):
-            with_store(work)
+            run_with_store(scenario)
 
     @parameterized.expand(
         [
@@ -450,7 +453,7 @@
         ]
     )
     def test_failures(self, mode: str, call: str, error: t.Type[PlatformError]) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> None:
             standin.mode = mode
             if call == "read":
                 await store.snapshot("op/")
@@ -458,25 +461,25 @@
                 await store.transact([Write("mine/a", b"1")])
 
         with self.assertRaises(error):
-            with_store(work)
+            run_with_store(scenario)
 
-    def test_nobody_there(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> None:
-            nobody = RowStore(StoreSettings(address="127.0.0.1:1", timeout_s=0.3))
-            await nobody.transact([Write("mine/a", b"1")])
+    def test_connection_refused(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> None:
+            unreachable = RowStore(StoreSettings(address="127.0.0.1:1", timeout_s=0.3))
+            await unreachable.transact([Write("mine/a", b"1")])
 
         with self.assertRaises(PlatformUnavailableError):
-            with_store(work)
+            run_with_store(scenario)
 
-    def test_a_call_that_the_store_refuses_for_good(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> None:
+    def test_call_that_the_store_does_not_support(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> None:
             await store.changes(["a/", "b/"], Revision(0))
 
         with self.assertRaises(PlatformRejectedError):
-            with_store(work)
+            run_with_store(scenario)
 
-    def test_after_a_lost_answer_another_connection_is_used(self) -> None:
-        async def work(standin: StoreStandin, store: RowStore) -> t.Any:
+    def test_new_connection_is_used_after_a_lost_answer(self) -> None:
+        async def scenario(standin: StoreStandin, store: RowStore) -> t.Any:
             await store.snapshot("op/")
             standin.mode = "silent"
             try:
@@ -485,4 +488,4 @@
                 standin.mode = "ok"
             return await store.snapshot("op/")
 
-        self.assertEqual((), with_store(work).rows)
+        self.assertEqual((), run_with_store(scenario).rows)
--- a/tests/platform_adapter/test_documented_words.py
+++ b/tests/platform_adapter/test_documented_words.py
@@ -1,4 +1,8 @@
-"""Tests that what targets, callers, the store and the operator say is read, as a page lists it."""
+"""Tests that every header and field from outside is documented and read where the page says.
+
+The page docs/PLATFORM.md lists the words that targets, callers, the store and the operator use,
+each with the module that reads it and a name that this module refers to.
+"""
 
 import ast
 import functools
@@ -16,8 +20,8 @@
 _CODE = re.compile(r"`([^`]+)`")
 _SECTION = _PAGE.partition("## What is said, who reads it, what it binds")[2].partition("\n## ")[0]
 _READ, _, _UNREAD = _SECTION.partition("### Read by nobody")
-#: Structs that decode what is said, whose fields all have to be listed.
-_DECODED = (
+#: Structs that decode the platform's rows; all of their fields have to be listed.
+_ROW_STRUCTS = (
     rows._Route,
     rows._Backend,
     rows._Tenant,
@@ -30,8 +34,8 @@
     store._Row,
     store._Rows,
 )
-#: What is decoded, in the product's words: each field has to be read where decisions are made.
-_MODEL = (
+#: Types that rows are converted to; each field has to be read where decisions are made.
+_MODEL_STRUCTS = (
     model.Backend,
     model.CallerLimits,
     model.DesiredState,
@@ -40,21 +44,21 @@
     model.Target,
     model.Tenant,
 )
-#: Fields of these that decide nothing, as the page says.
-_IDLE = {"priority", "max_connections"}
+#: Fields of these that no decision depends on, as the page says.
+_UNUSED = {"priority", "max_connections"}
 
 
-class Listed(t.NamedTuple):
-    """One line of the page's tables."""
+class ListedWords(t.NamedTuple):
+    """One row of the page's tables."""
 
-    #: All words that the first column has.
+    #: All words in the first column.
     words: t.Tuple[str, ...]
-    #: Its reader, and what the reader refers to.
+    #: Module that reads the words, and the name in it that refers to them.
     module: str
     reference: str
 
 
-def listed() -> t.List[Listed]:
+def listed_words() -> t.List[ListedWords]:
     found = []
     for line in _READ.splitlines():
         columns = line.strip("|").split(" | ")
@@ -62,13 +66,13 @@
             continue
         reader = _CODE.findall(columns[1])
         if len(reader) == 2:
-            found.append(Listed(tuple(_CODE.findall(columns[0])), *reader))
+            found.append(ListedWords(tuple(_CODE.findall(columns[0])), *reader))
     return found
 
 
 @functools.cache
 def references(module: str) -> t.FrozenSet[str]:
-    """Names and attributes that a module reads, and its constants."""
+    """Returns the names and attributes that a module reads, and its literals."""
     found = set()
     for node in ast.walk(ast.parse((_SOURCE / f"{module}.py").read_text())):
         if isinstance(node, ast.Attribute) and isinstance(node.ctx, ast.Load):
@@ -82,7 +86,7 @@
 
 
 def header_names(module: str) -> t.Set[str]:
-    """Fields of the header names that a module reads, which are ``names`` in all modules."""
+    """Returns the ``HeaderNames`` fields that a module reads from variables ending in ``names``."""
     found = set()
     for node in ast.walk(ast.parse((_SOURCE / f"{module}.py").read_text())):
         if not isinstance(node, ast.Attribute) or not isinstance(node.ctx, ast.Load):
@@ -93,22 +97,24 @@
     return found
 
 
-class SaidTest(unittest.TestCase):
-    def test_each_word_is_read_where_the_page_says(self) -> None:
-        self.assertGreater(len(listed()), 50)
-        for line in listed():
+class DocumentedWordsTest(unittest.TestCase):
+    def test_each_word_is_read_where_documented(self) -> None:
+        self.assertGreater(len(listed_words()), 50)
+        for line in listed_words():
             with self.subTest(words=line.words):
                 self.assertIn(line.reference, references(line.module))
 
     def test_each_header_is_listed(self) -> None:
-        words = {word.lower() for line in listed() for word in line.words}
+        words = {word.lower() for line in listed_words() for word in line.words}
         for field in HEADERS.__struct_fields__:
             name = getattr(HEADERS, field).decode()
             with self.subTest(header=name):
                 self.assertIn(name.lower(), words)
 
     def test_each_header_is_read_by_its_name(self) -> None:
-        module_by_word = {word.lower(): line.module for line in listed() for word in line.words}
+        module_by_word = {
+            word.lower(): line.module for line in listed_words() for word in line.words
+        }
         for field in HEADERS.__struct_fields__:
             module = module_by_word[getattr(HEADERS, field).decode().lower()]
             with self.subTest(header=field, module=module):
@@ -116,20 +122,20 @@
 
     def test_each_field_of_a_row_is_listed(self) -> None:
         words = set(_CODE.findall(_SECTION))
-        for struct in _DECODED:
+        for struct in _ROW_STRUCTS:
             for field in struct.__struct_encode_fields__:
                 with self.subTest(struct=struct.__name__, field=field):
                     self.assertIn(field, words)
 
-    def test_each_field_decides_something_unless_the_page_says_that_none_does(self) -> None:
+    def test_each_model_field_is_used_unless_documented_as_unused(self) -> None:
         read: t.Set[str] = set()
         for package in ("placement", "traffic"):
             for path in (_SOURCE / package).glob("*.py"):
                 if path.stem != "model":
                     read |= references(f"{package}/{path.stem}")
-        for struct in _MODEL:
+        for struct in _MODEL_STRUCTS:
             for field in struct.__struct_fields__:
                 with self.subTest(struct=struct.__name__, field=field):
-                    self.assertEqual(field not in _IDLE, field in read)
+                    self.assertEqual(field not in _UNUSED, field in read)
         self.assertIn("`maxConns`", _UNREAD)
         self.assertIn("`priority`", _UNREAD)
--- a/tests/platform_adapter/test_processes.py
+++ b/tests/platform_adapter/test_processes.py
@@ -1,4 +1,4 @@
-"""Entries as separate processes on the platform's stand-ins, through the adapter."""
+"""Tests of entries as separate processes with stand-ins for the platform, through the adapter."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
 
 
 class EntryProcess:
-    """One entry."""
+    """One entry as a process, with its settings file, ports and log."""
 
     def __init__(self, folder: pathlib.Path, number: int, store: str) -> None:
         self.name = f"e{number}"
@@ -70,7 +70,7 @@
         self.process.send_signal(number)
 
     async def wait_ended(self) -> int:
-        """Its exit status, once it has ended."""
+        """Waits until the process has ended and returns its exit status."""
         assert self.process is not None
         while self.process.poll() is None:  # noqa: ASYNC110
             await asyncio.sleep(0.02)
@@ -78,7 +78,7 @@
 
 
 class Installation:
-    """A store, instances and entries, and a client of them."""
+    """Store and entries of an installation, and a client for them."""
 
     def __init__(self, folder: pathlib.Path, store: StoreStandin, count: int) -> None:
         self.store = store
@@ -99,7 +99,7 @@
                 entry.process.wait()
 
     async def get(self, port: int, path: str, **options: t.Any) -> t.Tuple[int, bytes]:
-        """Status and body; status 0 if there was no answer."""
+        """Returns status and body; status 0 if there was no answer."""
         try:
             url = f"http://127.0.0.1:{port}{path}"
             async with self.session.get(url, **options) as answer:
@@ -114,9 +114,9 @@
         body: t.Optional[bytes] = None,
         key: t.Optional[str] = None,
     ) -> t.Tuple[int, bytes, str]:
-        """Status and body of a request, and its id.
+        """Sends a request to an entry; returns status, body and the id of the request.
 
-        :param key: the credential that it carries, if any.
+        :param key: tenant key to send as the credential, if any.
         """
         self._sent += 1
         request_id = f"{entry.name}-{self._sent}"
@@ -138,14 +138,14 @@
             return 0, b"", request_id
 
     async def wait_until(self, what: str, condition: t.Callable[[], t.Awaitable[bool]]) -> None:
-        """Wait until something holds; give up after a long time."""
+        """Waits until a condition holds; fails with the entries' logs after ``PATIENCE_S``."""
         try:
             async with asyncio.timeout(PATIENCE_S):
                 while not await condition():  # noqa: ASYNC110
                     await asyncio.sleep(0.05)
         except TimeoutError:
             logs = "\n".join([entry.log.read_text()[-3000:] for entry in self.entries])
-            raise AssertionError(f"never: {what}\n{logs}") from None
+            raise AssertionError(f"timed out waiting until {what}\n{logs}") from None
 
     async def wait_until_ready(self, *entries: EntryProcess) -> None:
         for entry in entries or self.entries:
@@ -166,7 +166,7 @@
             await self.wait_until(f"{entry.name} answers {status}", answered)
 
     async def resolve(self, entry: EntryProcess) -> t.List[str]:
-        """Addresses that a client in the entry's zone is told of by that entry."""
+        """Returns the addresses that the entry gives in a look-up from its own zone."""
         query = f"/v1/resolve?name=a.example&region={entry.region}&zone={entry.zone}"
         status, body = await self.get(entry.ports["lookup"], query)
         return json.loads(body)["addresses"] if status == 200 else []
@@ -181,7 +181,7 @@
     route: t.Optional[t.Dict[str, t.Any]] = None,
     tenants: t.Optional[t.List[t.Dict[str, t.Any]]] = None,
 ) -> None:
-    """Play a scene with a store, three instances and some entries."""
+    """Runs a scenario with a store, three instances and some entries."""
 
     async def main() -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -203,19 +203,20 @@
     asyncio.run(main())
 
 
-def loads(process: "subprocess.Popen[bytes]", module: str) -> bool:
-    """Whether a process has begun to load a module of compiled code."""
+def has_loaded(process: "subprocess.Popen[bytes]", module: str) -> bool:
+    """Returns whether a process has mapped the shared library of a compiled module."""
     return module in pathlib.Path(f"/proc/{process.pid}/maps").read_text()
 
 
-#: Processes that are told to stop as they start, each so many seconds later than the one before.
+#: Number of processes that get SIGTERM while they start, and the seconds by which each gets it later
+#: than the one before.
 _EARLY_STOPS = 30
 _EARLY_STEP_S = 0.0002
 
 
-class EarlySignalsTest(unittest.TestCase):
+class StartupSignalsTest(unittest.TestCase):
     @parameterized.expand([("hung up", signal.SIGHUP, None), ("told to stop", signal.SIGTERM, 0)])
-    def test_a_signal_while_modules_are_imported(
+    def test_signal_while_modules_are_imported(
         self, _name: str, number: int, status: t.Optional[int]
     ) -> None:
         async def scenario(installation: Installation, _instances: t.List[InstanceStandin]) -> None:
@@ -224,7 +225,7 @@
             await entry.wait_ended()
             entry.start()
             assert entry.process is not None
-            while not loads(entry.process, "msgspec"):  # noqa: ASYNC110
+            while not has_loaded(entry.process, "msgspec"):  # noqa: ASYNC110
                 await asyncio.sleep(0)
             entry.signal(number)
             if status is not None:
@@ -235,8 +236,8 @@
 
         run_scenario(scenario, entries=1)
 
-    def test_told_to_stop_while_compiled_code_is_initialised(self) -> None:
-        """An exception out of a signal's handler ended 8 of 40 processes by a segfault there."""
+    def test_sigterm_while_compiled_modules_are_initialised(self) -> None:
+        """Raising an exception in the signal handler made 8 of 40 processes segfault there."""
 
         async def main() -> t.List[int]:
             statuses = []
@@ -245,7 +246,7 @@
                     entry = EntryProcess(pathlib.Path(folder), number, "127.0.0.1:1")
                     entry.start()
                     assert entry.process is not None
-                    while not loads(entry.process, "orjson"):  # noqa: ASYNC110
+                    while not has_loaded(entry.process, "orjson"):  # noqa: ASYNC110
                         await asyncio.sleep(0)
                     await asyncio.sleep(number * _EARLY_STEP_S)
                     entry.signal(signal.SIGTERM)
@@ -255,22 +256,22 @@
         self.assertEqual([0] * _EARLY_STOPS, asyncio.run(main()))
 
 
-class WholePathTest(unittest.TestCase):
-    def test_requests_desired_states_and_drains(self) -> None:
+class EndToEndTest(unittest.TestCase):
+    def test_requests_desired_state_changes_and_drains(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             homes: t.List[InstanceStandin] = []
             for region in sorted({entry.region for entry in installation.entries}):
                 before = [len(instance.executed_ids) for instance in instances]
-                asked = [entry for entry in installation.entries if entry.region == region]
-                for entry in asked:
+                entries = [entry for entry in installation.entries if entry.region == region]
+                for entry in entries:
                     self.assertEqual((200, b"read"), (await installation.request(entry))[:2])
                 ran = [
                     len(one.executed_ids) - count
                     for one, count in zip(instances, before, strict=True)
                 ]
-                # Each region has room of its own, and its entries agree on one of its instances.
-                self.assertEqual([0] * (len(ran) - 1) + [len(asked)], sorted(ran))
-                home = instances[ran.index(len(asked))]
+                # Each region has its own capacity, and its entries agree on one of its instances.
+                self.assertEqual([0] * (len(ran) - 1) + [len(entries)], sorted(ran))
+                home = instances[ran.index(len(entries))]
                 self.assertEqual(region, ZONES[instances.index(home)].partition("-")[0])
                 homes.append(home)
 
@@ -288,12 +289,12 @@
 
             for entry in installation.entries:
                 await installation.wait_until(
-                    "the drain is known", lambda entry=entry: moved(entry)
+                    "the drain has taken effect", lambda entry=entry: moved(entry)
                 )
 
         run_scenario(scenario)
 
-    def test_an_evacuated_zone_gets_nothing(self) -> None:
+    def test_evacuated_zone_gets_no_requests(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             await installation.request(installation.entries[0])
             home = next(instance for instance in instances if instance.executed_ids)
@@ -307,22 +308,22 @@
 
         run_scenario(scenario, entries=1)
 
-    def test_a_planned_stop_cuts_nothing_off_and_is_told(self) -> None:
+    def test_planned_stop_finishes_requests_and_is_announced(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             for instance in instances:
                 instance.service_time_s = 0.5
             first, *others = installation.entries
-            asked = asyncio.create_task(installation.request(first, body=b"order"))
+            pending = asyncio.create_task(installation.request(first, body=b"order"))
             while not any(instance.executed_ids for instance in instances):  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             first.signal(signal.SIGTERM)
             address = f"127.0.0.1:{first.ports['caller']}"
 
-            async def unnamed() -> bool:
+            async def is_not_resolved() -> bool:
                 return all([address not in await installation.resolve(other) for other in others])
 
-            await installation.wait_until("nobody names it", unnamed)
-            self.assertEqual((200, b"order"), (await asked)[:2])
+            await installation.wait_until("no other entry returns its address", is_not_resolved)
+            self.assertEqual((200, b"order"), (await pending)[:2])
             self.assertEqual(
                 503, (await installation.get(first.ports["readiness"], "/v1/ready"))[0]
             )
@@ -332,66 +333,66 @@
 
         run_scenario(scenario, route={"kind": "unsafe"})
 
-    def test_a_killed_entry_is_named_no_more_and_comes_back(self) -> None:
+    def test_killed_entry_leaves_look_ups_and_returns_after_restart(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             first, second, _ = installation.entries
             address = f"127.0.0.1:{first.ports['caller']}"
 
-            async def named() -> bool:
+            async def is_resolved() -> bool:
                 return address in await installation.resolve(second)
 
-            await installation.wait_until("it is named", named)
+            await installation.wait_until("its address is returned", is_resolved)
             first.signal(signal.SIGKILL)
             await first.wait_ended()
 
-            async def unnamed() -> bool:
+            async def is_not_resolved() -> bool:
                 return address not in await installation.resolve(second)
 
-            await installation.wait_until("it is named no more", unnamed)
+            await installation.wait_until("its address is no longer returned", is_not_resolved)
             first.start()
             await installation.wait_until_ready(first)
-            await installation.wait_until("it is named again", named)
+            await installation.wait_until("its address is returned again", is_resolved)
 
         run_scenario(scenario)
 
-    def test_entries_serve_while_the_store_is_away_and_learn_afterwards(self) -> None:
+    def test_entries_serve_during_a_store_outage_and_update_after_it(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             installation.store.mode = "silent"
             for entry in installation.entries:
                 self.assertEqual(200, (await installation.request(entry))[0])
 
-            async def lost() -> bool:
+            async def is_logged() -> bool:
                 return "event=store.lost" in installation.entries[0].log.read_text()
 
-            await installation.wait_until("the loss is logged", lost)
+            await installation.wait_until("the outage is logged", is_logged)
             installation.store.mode = "ok"
             installation.store.put("op", "config", config(2, prefix="/q/"))
             await installation.wait_until_status(200, "/q/1")
 
         run_scenario(scenario)
 
-    def test_one_that_the_store_turns_away_follows_the_others(self) -> None:
+    def test_entry_rejected_by_the_store_learns_changes_from_peers(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
-            late = installation.entries[0]
-            late.signal(signal.SIGSTOP)
+            paused = installation.entries[0]
+            paused.signal(signal.SIGSTOP)
             installation.store.put("op", "config", config(2, prefix="/q/"))
 
-            async def known() -> bool:
+            async def others_updated() -> bool:
                 return (await installation.request(installation.entries[1], "/q/1"))[0] == 200
 
-            await installation.wait_until("the others know", known)
+            await installation.wait_until("the other entries have the new state", others_updated)
             installation.store.mode = "busy"
-            late.signal(signal.SIGCONT)
+            paused.signal(signal.SIGCONT)
             await installation.wait_until_status(200, "/q/1")
 
         run_scenario(scenario)
 
-    def test_a_settings_file_that_changed_is_taken_in(self) -> None:
+    def test_changed_settings_file_is_reloaded(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             entry = installation.entries[0]
             text = entry.settings.read_text()
 
-            async def told(line: str) -> bool:
+            async def is_logged(line: str) -> bool:
                 return line in entry.log.read_text()
 
             for changed, line in (
@@ -404,12 +405,12 @@
             ):
                 entry.settings.write_text(changed)
                 entry.signal(signal.SIGHUP)
-                await installation.wait_until(line, lambda line=line: told(line))
+                await installation.wait_until(line, lambda line=line: is_logged(line))
             self.assertEqual(200, (await installation.request(entry))[0])
 
         run_scenario(scenario, entries=1)
 
-    def test_metrics_and_the_log_tell_of_a_request(self) -> None:
+    def test_request_appears_in_metrics_and_log(self) -> None:
         async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             entry = installation.entries[0]
             _, _, request_id = await installation.request(entry)
@@ -419,19 +420,19 @@
             self.assertIn("coralfall_request_seconds_bucket", text.decode())
             self.assertIn("coralfall_state_version 1.0", text.decode())
 
-            async def told() -> bool:
+            async def is_logged() -> bool:
                 lines = entry.log.read_text().splitlines()
                 line = next((line for line in lines if f"id={request_id} " in line), "")
                 parts = ("event=request.ended", "status=200", "sends=i-", "version=1")
                 return all(part in line for part in parts)
 
-            await installation.wait_until("the log has it", told)
+            await installation.wait_until("the request is logged", is_logged)
 
         run_scenario(scenario, entries=1)
 
 
-class BadSettingsTest(unittest.TestCase):
-    def test_one_clear_line_names_the_field(self) -> None:
+class InvalidSettingsTest(unittest.TestCase):
+    def test_invalid_settings_are_reported_in_one_line(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "settings.toml"
             path.write_text('entry_id = "e1"\nzon = "z"\n')
--- a/tests/platform_adapter/test_target_limit.py
+++ b/tests/platform_adapter/test_target_limit.py
@@ -9,8 +9,8 @@
 from tests.platform_adapter.test_processes import ZONES, Installation, run_scenario
 from tests.traffic.quota_fleet import most_in_window
 
-#: The users' bounds: time in seconds until the limit must be obeyed, length of the window in seconds,
-#: and the factor and number of requests by which the limit may be exceeded in a window.
+#: The users' bounds: seconds until the limit must be obeyed, length of the window in seconds, and
+#: the factor and number of requests by which the limit may be exceeded in a window.
 STABLE_S = 4.0
 WINDOW_S = 4.0
 FACTOR = 1.5
--- a/tests/platform_adapter/test_template.py
+++ b/tests/platform_adapter/test_template.py
@@ -1,4 +1,4 @@
-"""Tests of the settings template: any numbers of a platform start an entry, or a line says why."""
+"""Tests of the settings template: an entry starts with any valid numbers, or reports the fault."""
 
 import json
 import math
@@ -24,10 +24,10 @@
 from tests.traffic.makers import PEDIDOS, cold_share_of
 
 TEMPLATE = pathlib.Path(__file__).parent.parent.parent / "deploy" / "entry.toml"
-#: Numbers that the template asks for, by the platform's names.
+#: Names of the template's numeric placeholders, as used by the platform.
 NUMBERS = tuple(re.findall(r"\{\{#([\w.]+)\}\}\w+ = ", TEMPLATE.read_text()))
 ADDRESSES = ("ip", "listen.front", "listen.directory", "listen.readiness", "platform.address")
-#: A small twin of a site divides its bounds, and so gives counts as fractions.
+#: A scaled-down copy of a site has its bounds divided, so counts become fractions.
 FRACTION = 30.714285714285715
 
 _amounts = st.one_of(
@@ -39,7 +39,7 @@
 
 
 def render(number_by_name: t.Mapping[str, t.Any]) -> str:
-    """The template filled in; sections of what is not given are left out."""
+    """Renders the template; sections without a given value are left out."""
     text = re.sub(
         r"\{\{#(seeds|bootstrap)\}\}.*?\{\{/\1\}\}", "", TEMPLATE.read_text(), flags=re.DOTALL
     )
@@ -62,11 +62,13 @@
 class TemplateTest(unittest.TestCase):
     @hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
     @hypothesis.given(st.dictionaries(st.sampled_from(NUMBERS), _amounts))
-    def test_any_amount_is_taken_and_can_be_used(self, given: t.Dict[str, t.Any]) -> None:
+    def test_any_non_negative_number_is_accepted_and_usable(
+        self, given: t.Dict[str, t.Any]
+    ) -> None:
         settings = load(given)
         bounds = settings.bounds
         pace = pace_of(min(bounds.state_deadline_s(), bounds.drain_s))
-        used = (
+        derived = (
             bounds.shutdown_serve_s(),
             bounds.lookup_ttl_s(),
             bounds.home_shift_per_s(),
@@ -74,23 +76,23 @@
             cold_share_of(settings.entry_id, [settings.entry_id], t.cast(t.Any, "t"), 1.0),
             pace.interval_s,
         )
-        for number in used:
-            self.assertTrue(math.isfinite(number) and number >= 0, used)
+        for number in derived:
+            self.assertTrue(math.isfinite(number) and number >= 0, derived)
         budget = SendBudget(bounds, ManualClock(100.0))
         budget.request(PEDIDOS)
         self.assertIn(budget.take(PEDIDOS), (True, False))
         self.assertGreater(settings.max_caller_connections(), 0)
-        self.assertGreaterEqual(pace.interval_s, 0.05, "the store is asked without a pause")
+        self.assertGreaterEqual(pace.interval_s, 0.05, "the store would be read without a pause")
 
     @parameterized.expand([(name,) for name in NUMBERS])
-    def test_a_fraction_is_taken(self, name: str) -> None:
+    def test_fraction_is_accepted(self, name: str) -> None:
         load({name: FRACTION})
 
-    def test_entries_listen_where_seeds_are_asked(self) -> None:
-        """Seeds are the addresses of the machines' listener ``control``."""
+    def test_peer_address_is_the_address_of_seeds(self) -> None:
+        """Seeds are given as the addresses of the machines' ``control`` listener."""
         self.assertIn("\npeer_address = {{listen.control|json}}\n", TEMPLATE.read_text())
 
-    def test_only_a_first_start_has_time(self) -> None:
+    def test_first_start_is_set_by_bootstrap_only(self) -> None:
         text = TEMPLATE.read_text()
         self.assertIn("{{#bootstrap}}first_start = true\n{{/bootstrap}}", text)
 
@@ -102,20 +104,20 @@
             ("true", "bounds.graceS", True, "bounds.grace_s: found True"),
         ]
     )
-    def test_what_is_no_amount_is_told_in_one_line(
-        self, _name: str, name: str, value: t.Any, told: str
+    def test_invalid_number_is_reported_in_one_line(
+        self, _name: str, name: str, value: t.Any, expected: str
     ) -> None:
         with self.assertRaises(SettingsError) as caught:
             load({name: value})
         message = caught.exception.message
-        self.assertIn(told, message)
+        self.assertIn(expected, message)
         self.assertIn("Expected `float`", message)
         self.assertNotIn("\n", message)
 
 
 class CheckCommandTest(unittest.TestCase):
     @parameterized.expand([("good", FRACTION, True), ("bad", -1, False)])
-    def test_an_operator_is_told_without_a_start(
+    def test_settings_are_validated_without_a_start(
         self, _name: str, slack: float, good: bool
     ) -> None:
         path = make_folder(self) / "entry.toml"
--- a/tests/platform_adapter/test_tenant_processes.py
+++ b/tests/platform_adapter/test_tenant_processes.py
@@ -33,7 +33,7 @@
                 statuses.append((await installation.request(entry, key=KEY))[0])
             answered = statuses.count(200)
             self.assertEqual({200, 429}, set(statuses) - {503})
-            # Bound per window: (rate x window + burst) x 1.1 + 20. All requests fit into one window.
+            # At most (rate x window + burst) x 1.1 + 20 per window; all requests are in one window.
             self.assertLessEqual(answered, (1 * 5 + 1) * 1.1 + 20)
             _, _, request_id = await installation.request(installation.entries[0], key=KEY)
 
--- a/tests/test_init.py
+++ b/tests/test_init.py
@@ -1,4 +1,4 @@
-"""The package's public names."""
+"""Tests of the package's public names."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 
 
 class TestPublicNames(unittest.TestCase):
-    def test_every_name_is_found(self) -> None:
+    def test_every_name_is_importable(self) -> None:
         for name in coralfall.__all__:
             self.assertEqual(getattr(coralfall, name).__name__, name)
 
--- a/tests/test_other_sites.py
+++ b/tests/test_other_sites.py
@@ -1,4 +1,4 @@
-"""Tests of the tool that writes installations of our own for the users' bench."""
+"""Tests of the generator of site files, which makes variants of a site for the users' benchmark."""
 
 import copy
 import tomllib
@@ -8,7 +8,7 @@
 from benchmarks.other_sites import KINDS, text_of_site
 from parameterized import parameterized
 
-#: As little of a site file as the kinds need.
+#: Minimal site file with everything that the variants change.
 SITE: t.Dict[str, t.Any] = {
     "name": "s",
     "contracts": ["base", "retry"],
@@ -41,11 +41,11 @@
 
 
 class OtherSitesTest(unittest.TestCase):
-    def test_a_site_comes_out_as_it_went_in(self) -> None:
+    def test_site_file_round_trip(self) -> None:
         self.assertEqual(SITE, tomllib.loads(text_of_site(SITE)))
 
     @parameterized.expand([(kind,) for kind in KINDS])
-    def test_each_kind_is_another_site_with_the_same_days(self, kind: str) -> None:
+    def test_each_variant_changes_the_site_but_not_its_days(self, kind: str) -> None:
         site = copy.deepcopy(SITE)
         KINDS[kind](site)
         found = tomllib.loads(text_of_site(site))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of :mod:`coralfall.settings` and :mod:`coralfall.tomlfile`: one error with every fault."""
+"""Tests of :mod:`coralfall.settings` and :mod:`coralfall.tomlfile`."""
 
 import typing as t
 import unittest
@@ -18,29 +18,29 @@
     def setUp(self) -> None:
         self.path = make_folder(self) / "target.toml"
 
-    def test_a_whole_file(self) -> None:
+    def test_valid_file(self) -> None:
         self.path.write_bytes(GOOD + b"slots = 3\n")
-        wanted = TargetStandinSettings(address="127.0.0.1:1", slots=3)
-        self.assertEqual(wanted, load_settings(self.path, TargetStandinSettings))
+        expected = TargetStandinSettings(address="127.0.0.1:1", slots=3)
+        self.assertEqual(expected, load_settings(self.path, TargetStandinSettings))
 
     @parameterized.expand(
         [
             ("missing", None, [("", "unreadable")]),
-            ("no TOML", b"address =", [("", "syntax")]),
-            ("no text", b"\xff\xfe", [("", "syntax")]),
+            ("not TOML", b"address =", [("", "syntax")]),
+            ("not UTF-8", b"\xff\xfe", [("", "syntax")]),
             ("no address", b"", [("address", "missing-field")]),
             ("two", b"adress = 1\n" + GOOD + b"slots = 2.5\n", [UNKNOWN, WRONG]),
         ]
     )
     def test_faults(
-        self, _name: str, data: t.Optional[bytes], wanted: t.List[t.Tuple[str, str]]
+        self, _name: str, data: t.Optional[bytes], expected: t.List[t.Tuple[str, str]]
     ) -> None:
         if data is not None:
             self.path.write_bytes(data)
         with self.assertRaises(SettingsError) as caught:
             load_settings(self.path, TargetStandinSettings)
         found = [(fault.path, fault.code) for fault in caught.exception.faults]
-        self.assertEqual(wanted, found)
+        self.assertEqual(expected, found)
         self.assertTrue(caught.exception.message.startswith(f"{self.path}: "))
         for fault in caught.exception.faults:
             self.assertIn(fault.message, caught.exception.message)
@@ -48,11 +48,11 @@
 
 class AddressTest(unittest.TestCase):
     @parameterized.expand([("10.0.0.1:80", "10.0.0.1", 80), ("[fd00::1]:0", "fd00::1", 0)])
-    def test_taken(self, text: str, host: str, port: int) -> None:
+    def test_valid(self, text: str, host: str, port: int) -> None:
         self.assertEqual((host, port), split_address(text))
 
     @parameterized.expand([("10.0.0.1",), ("10.0.0.1:",), ("10.0.0.1:65536",), ("10.0.0.1:-1",)])
-    def test_refused(self, text: str) -> None:
+    def test_invalid(self, text: str) -> None:
         with self.assertRaises(ValueError):
             split_address(text)
 
