--- a/tests/platform_adapter/test_processes.py
+++ b/tests/platform_adapter/test_processes.py
@@ -208,8 +208,8 @@
     return module in pathlib.Path(f"/proc/{process.pid}/maps").read_text()
 
 
-#: Number of processes that get SIGTERM while they start, and the seconds by which each gets it later
-#: than the one before.
+#: Number of processes that get SIGTERM while they start, and how many seconds later than the one
+#: before each of them gets it.
 _EARLY_STOPS = 30
 _EARLY_STEP_S = 0.0002
 
