--- a/src/coralfall/defaults.py
+++ b/src/coralfall/defaults.py
@@ -236,7 +236,7 @@
 #: nobody else was in hand at as many; and if somebody was. The users allow it to reach targets
 #: three times more once three ended of it and the entries had time to tell each other.
 QUARANTINE_CRASHES = 3
-QUARANTINE_UNSURE_CRASHES = 5
+QUARANTINE_AMBIGUOUS_CRASHES = 5
 #: Seconds after the last crash from which on a refused request is sent once more, on trial.
 QUARANTINE_TRY_S = 60.0
 #: Seconds for which a suspected request is remembered once it comes no more, and after which the
@@ -308,28 +308,28 @@
 LOOKUP_BESIDE = 16
 
 #: How many targets hold an object, in the order of their hashes.
-AFFINITY_HOMES = 2
+AFFINITY_CANDIDATES = 2
 #: Slots, as a multiple of a target's own, up to which the homes are filled, one limit after
 #: the other: first every home up to the first limit, then every home up to the next.
-AFFINITY_LIMITS = (1.0, 1.5, 3.0)
+AFFINITY_LOAD_LIMITS = (1.0, 1.5, 3.0)
 #: The same for requests whose callers have waited for longer than the answer is worth most.
-LATE_LIMITS = (1.0,)
+LATE_LOAD_LIMITS = (1.0,)
 #: Part of what may shift between regions that an entry uses, and the seconds that it is counted in.
 SHIFT_USED = 2 / 3
 SHIFT_WINDOW_S = 2.0
 #: Seconds after which half of a target's word on its load is replaced by an entry's own knowledge.
 LOAD_HALF_LIFE_S = 1.5
 #: Most objects whose order of targets is kept.
-AFFINITY_CACHE = 20_000
+MAX_CACHED_RANKINGS = 20_000
 #: Seconds in which a connection to a target must be open.
 TARGET_CONNECT_S = 0.35
 #: Seconds for which sent bytes may stay unacknowledged before their connection is given up.
 UNACKNOWLEDGED_S = 0.4
 #: Failed connections and failed exchanges in a row after which a target rests.
-REST_FAILURES = 3
+EJECTION_FAILURES = 3
 #: Seconds for which it rests, at first and at most.
-REST_S = 0.3
-MAX_REST_S = 2.0
+BASE_EJECTION_S = 0.3
+MAX_EJECTION_S = 2.0
 #: Files that a process may have open, and those of them that callers' connections don't get: the
 #: platform keeps two hundred for files, and the store, other entries and listeners need some.
 MAX_FILES = 4096
