--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -23,13 +23,13 @@
     NORTE,
     PEDIDOS,
     PUERTO,
-    Steered,
+    SteeringFixture,
+    cold_share_of,
     make_route,
     make_settings,
     make_state,
     make_target,
-    seeded,
-    share_of,
+    seeded_rng,
 )
 
 
@@ -68,14 +68,14 @@
     def test_few_requests_keep_the_shares(self, _name: str, weights: t.Tuple[float, ...]) -> None:
         backends = [Backend(ServiceId(f"s{n}"), weight) for n, weight in enumerate(weights)]
         route = make_route(backends=tuple(backends))
-        split = WeightedSplit(seeded())
+        split = WeightedSplit(seeded_rng())
         counts = collections.Counter(split.choose(route) for _ in range(100))
         for backend in backends:
             share = backend.weight / sum(weights)
             self.assertAlmostEqual(share, counts[backend.service] / 100, delta=0.03)
 
     def test_a_changed_weight_is_in_force_at_once(self) -> None:
-        split = WeightedSplit(seeded())
+        split = WeightedSplit(seeded_rng())
         split.choose(make_route(backends=(Backend(ServiceId("a"), 1), Backend(ServiceId("b"), 1))))
         moved = make_route(backends=(Backend(ServiceId("a"), 0), Backend(ServiceId("b"), 1)))
         self.assertEqual({ServiceId("b")}, {split.choose(moved) for _ in range(20)})
@@ -125,7 +125,7 @@
 
 
 class AffinityTest(unittest.TestCase):
-    def choose(self, steered: Steered, key: str, **options: t.Any) -> TargetId:
+    def choose(self, steered: SteeringFixture, key: str, **options: t.Any) -> TargetId:
         route = options.get("route", make_route())
         reservation = steered.steering.choose(
             route, PEDIDOS, key.encode(), options.get("tried", ())
@@ -136,14 +136,14 @@
 
     def test_entries_agree_without_talking(self) -> None:
         targets = [make_target(number) for number in range(20)]
-        one = Steered(*targets)
-        other = Steered(*reversed(targets))
+        one = SteeringFixture(*targets)
+        other = SteeringFixture(*reversed(targets))
         for key in range(50):
             self.assertEqual(self.choose(one, str(key)), self.choose(other, str(key)))
 
     def test_few_objects_move_when_a_target_leaves(self) -> None:
         targets = [make_target(number, slots=1000) for number in range(20)]
-        steered = Steered(*targets)
+        steered = SteeringFixture(*targets)
         before = {key: self.choose(steered, str(key)) for key in range(300)}
         steered.set_targets(*targets[1:])
         moved = [key for key in before if self.choose(steered, str(key)) != before[key]]
@@ -152,7 +152,7 @@
             self.assertEqual(TargetId("t0"), before[key])
 
     def test_homes_are_filled_in_order_and_then_the_request_is_refused(self) -> None:
-        steered = Steered(*[make_target(number, slots=2) for number in range(5)])
+        steered = SteeringFixture(*[make_target(number, slots=2) for number in range(5)])
         chosen: t.List[TargetId] = []
         with self.assertRaises(RefusedError) as caught:
             while True:
@@ -174,7 +174,7 @@
     def test_a_second_home_learns_only_where_it_has_room(
         self, _name: str, taken: int, known: bool, load: int, expected: str
     ) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         first = steered.targets.by_id[self.choose(steered, "x")]
         (second,) = [one for one in steered.targets.by_id.values() if one is not first]
         if known:
@@ -194,7 +194,7 @@
     def test_after_a_shed_without_shortage(
         self, _name: str, affinity: bool, known: bool, same: bool
     ) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         shed = steered.targets.by_id[self.choose(steered, "x")]
         shed.record_success()
         self.assertTrue(shed.sheds_at_random())
@@ -207,7 +207,7 @@
         self.assertIs(shed if same else other, reservation.state)
 
     def test_callers_come_back_when_the_queue_is_gone(self) -> None:
-        steered = Steered(make_target(1))
+        steered = SteeringFixture(make_target(1))
         steered.steering.admission.record_duration(PEDIDOS, 0.4)
         steered.targets.by_id[TargetId("t1")].record_load(4, 8)
         with self.assertRaises(RefusedError) as caught:
@@ -215,7 +215,7 @@
         self.assertAlmostEqual(0.9, caught.exception.retry_after)
 
     def test_late_callers_come_back_last(self) -> None:
-        steered = Steered(make_target(1))
+        steered = SteeringFixture(make_target(1))
         steered.targets.by_id[TargetId("t1")].record_load(4, 0)
         with self.assertRaises(RefusedError) as caught:
             steered.steering.choose(make_route(), PEDIDOS, b"x", (), late=True)
@@ -224,7 +224,7 @@
         )
 
     def test_a_target_that_learns_behind_a_queue_is_not_quiet(self) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         steered.steering.admission.record_duration(PEDIDOS, 0.12)
         steered.steering.admission.record_duration(PEDIDOS, 0.5, known=False)
         reservation = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
@@ -234,7 +234,7 @@
         self.assertTrue(reservation.state.is_unresponsive())
 
     def test_a_released_target_is_chosen_again(self) -> None:
-        steered = Steered(make_target(1, slots=1))
+        steered = SteeringFixture(make_target(1, slots=1))
         held = [steered.steering.choose(make_route(), PEDIDOS, b"x", ()) for _ in range(3)]
         with self.assertRaises(RefusedError):
             self.choose(steered, "x")
@@ -243,7 +243,7 @@
         self.assertEqual(TargetId("t1"), self.choose(steered, "x"))
 
     def test_a_target_s_own_word_counts_and_fades(self) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         first = steered.targets.by_id[self.choose(steered, "x")]
         first.record_load(running=4, waiting=4)
         self.assertNotEqual(first.target.target_id, self.choose(steered, "x"))
@@ -257,27 +257,27 @@
         ]
     )
     def test_not_chosen(self, _name: str, changes: t.Dict[str, t.Any]) -> None:
-        steered = Steered(make_target(1, **changes), make_target(2, slots=1000))
+        steered = SteeringFixture(make_target(1, **changes), make_target(2, slots=1000))
         steered.targets.evacuate(frozenset({PUERTO}))
         for key in range(20):
             self.assertEqual(TargetId("t2"), self.choose(steered, str(key)))
 
     def test_the_last_check_sees_what_changed_since_the_choice(self) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         state = steered.steering.choose(make_route(), PEDIDOS, b"x", ()).state
         self.assertTrue(steered.targets.may_use(state))
         steered.targets.evacuate(frozenset({NORTE}))
         self.assertFalse(steered.targets.may_use(state))
 
     def test_regions_that_a_route_is_held_to(self) -> None:
-        steered = Steered(make_target(1), make_target(2, zone=PUERTO, slots=1000))
+        steered = SteeringFixture(make_target(1), make_target(2, zone=PUERTO, slots=1000))
         route = make_route(allowed_regions=frozenset({COSTA}))
         for key in range(20):
             self.assertEqual(TargetId("t2"), self.choose(steered, str(key), route=route))
 
     @parameterized.expand([("not reached", False, 1), ("broke off", True, 3)])
     def test_a_failing_target_rests(self, _name: str, reached: bool, failures: int) -> None:
-        steered = Steered(make_target(1), make_target(2, slots=1000))
+        steered = SteeringFixture(make_target(1), make_target(2, slots=1000))
         state = steered.targets.by_id[TargetId("t1")]
         for _ in range(failures):
             self.assertTrue(state.is_usable())
@@ -296,7 +296,7 @@
     def test_a_quiet_target_is_passed_over(
         self, _name: str, answered_s: t.Optional[float], waited_s: float, passed_over: bool
     ) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         steered.steering.admission.record_duration(PEDIDOS, 0.2)
         reservation = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
         home = reservation.state.target.target_id
@@ -311,7 +311,7 @@
     def test_a_target_that_lets_a_request_s_time_pass(
         self, _name: str, answered: bool, rests: bool
     ) -> None:
-        steered = Steered(make_target(1))
+        steered = SteeringFixture(make_target(1))
         state = steered.targets.by_id[TargetId("t1")]
         began = steered.clock.monotonic()
         steered.clock.advance(1.0)
@@ -334,7 +334,7 @@
     def test_admission(
         self, _name: str, left_s: float, load: int, late: bool, reason: t.Optional[str]
     ) -> None:
-        steered = Steered(make_target(1, slots=4))
+        steered = SteeringFixture(make_target(1, slots=4))
         steered.steering.admission.record_duration(PEDIDOS, 0.2)
         steered.targets.by_id[TargetId("t1")].record_load(load, 0)
         got: t.Optional[str] = None
@@ -354,16 +354,16 @@
     def test_a_target_that_was_down_is_cold_until_its_row_would_tell(
         self, _name: str, refused: bool, failures: int, cold: bool
     ) -> None:
-        steered = Steered(make_target(1))
+        steered = SteeringFixture(make_target(1))
         state = steered.targets.by_id[TargetId("t1")]
         for _ in range(failures):
             state.record_failure(reached=False, refused=refused)
         self.assertEqual(cold, state.is_cold())
-        steered.clock.advance(make_settings().bounds.target_row_s())
+        steered.clock.advance(make_settings().bounds.target_visibility_s())
         self.assertFalse(state.is_cold())
 
     def test_kept_connections_of_a_lifetime_that_is_over_are_dropped(self) -> None:
-        steered = Steered(make_target(1, born=1))
+        steered = SteeringFixture(make_target(1, born=1))
         ended: t.List[t.Optional[int]] = []
         steered.targets.on_restart = lambda target: ended.append(target.born)
         steered.set_targets(make_target(1, born=1, cold_s=1.0))
@@ -371,13 +371,13 @@
         self.assertEqual([1], ended)
 
     def test_if_all_rest_they_are_tried_all_the_same(self) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         for state in steered.targets.by_id.values():
             state.record_failure(reached=False)
         self.assertIn(self.choose(steered, "x"), ("t1", "t2"))
 
     def test_who_is_late(self) -> None:
-        admission = Steered().steering.admission
+        admission = SteeringFixture().steering.admission
         route = make_route(latency_target_s=0.3)
         for _ in range(20):
             admission.record_arrival(route, 2.5)
@@ -385,7 +385,7 @@
         self.assertEqual([2.1, 0.5], late)
 
     def test_a_replaced_target_is_never_chosen_again(self) -> None:
-        steered = Steered(make_target(1), make_target(2, slots=1000))
+        steered = SteeringFixture(make_target(1), make_target(2, slots=1000))
         steered.targets.mark_replaced(steered.targets.by_id[TargetId("t1")])
         for key in range(20):
             self.assertEqual(TargetId("t2"), self.choose(steered, str(key)))
@@ -407,7 +407,7 @@
         self, _name: str, changes: t.Dict[str, t.Any], leave_s: float, ttl_s: float, per_s: float
     ) -> None:
         bounds = BoundSettings(**changes)
-        found = (bounds.leave_s(), bounds.lookup_ttl_s(), bounds.shares_per_s())
+        found = (bounds.shutdown_serve_s(), bounds.lookup_ttl_s(), bounds.home_shift_per_s())
         for expected, value in zip((leave_s, ttl_s, per_s), found, strict=True):
             self.assertAlmostEqual(expected, value)
 
@@ -432,16 +432,16 @@
     def test_connections_of_callers_leave_some_for_targets(
         self, _name: str, max_files: int, expected: int
     ) -> None:
-        self.assertEqual(expected, make_settings(max_files=max_files).caller_connections())
+        self.assertEqual(expected, make_settings(max_files=max_files).max_caller_connections())
 
     def test_what_the_operator_writes_is_bound_by_the_tighter_of_two(self) -> None:
-        self.assertEqual(1.5, BoundSettings(config_s=4.0, evacuation_s=1.5).state_bound_s())
+        self.assertEqual(1.5, BoundSettings(config_s=4.0, evacuation_s=1.5).state_deadline_s())
 
 
 class SharesTest(unittest.TestCase):
     """Where the objects of sierra's callers have their first home."""
 
-    def homes(self, steered: Steered, keys: int = 400) -> t.Dict[str, str]:
+    def homes(self, steered: SteeringFixture, keys: int = 400) -> t.Dict[str, str]:
         found = {}
         for number in range(keys):
             reservation = steered.steering.choose(make_route(), PEDIDOS, str(number).encode(), ())
@@ -462,11 +462,11 @@
     def test_part_that_stays(self, _name: str, near: int, far: int, part: float) -> None:
         targets = [make_target(number) for number in range(near)]
         targets += [make_target(100 + number, zone=PUERTO) for number in range(far)]
-        homes = self.homes(Steered(*targets))
+        homes = self.homes(SteeringFixture(*targets))
         self.assertAlmostEqual(part, list(homes.values()).count(NORTE) / len(homes), delta=0.06)
 
     def test_the_second_home_is_in_another_region(self) -> None:
-        steered = Steered(
+        steered = SteeringFixture(
             *[make_target(number, slots=1) for number in range(4)],
             *[make_target(100 + number, slots=1, zone=PUERTO) for number in range(4)],
         )
@@ -480,7 +480,7 @@
     def test_the_part_moves_slowly_when_room_does(self) -> None:
         near = [make_target(number) for number in range(4)]
         far = [make_target(100 + number, zone=PUERTO) for number in range(12)]
-        steered = Steered(*near, *far)
+        steered = SteeringFixture(*near, *far)
         before = self.homes(steered)
         steered.set_targets(*near[:2], *far)
         moved = []
@@ -509,16 +509,18 @@
         total = 0
         for number, name in enumerate(names):
             view = names if number % 2 or name not in fewer else fewer
-            total += share_of(name, view, TargetId("t1"), per_s)
+            total += cold_share_of(name, view, TargetId("t1"), per_s)
         self.assertLessEqual(total, per_s)
 
     def test_some_entry_warms_it(self) -> None:
         names = [EntryId(f"e{number}") for number in range(530)]
-        shares = [share_of(name, names, TargetId("t1"), 18.5) for name in names]
+        shares = [cold_share_of(name, names, TargetId("t1"), 18.5) for name in names]
         self.assertEqual(11, sum(shares))
 
     def test_a_cold_target_gets_its_share_in_any_second(self) -> None:
-        steered = Steered(make_target(1, cold_s=3.0, slots=1000), make_target(2, slots=1000))
+        steered = SteeringFixture(
+            make_target(1, cold_s=3.0, slots=1000), make_target(2, slots=1000)
+        )
         sent: t.List[float] = []
         for number in range(290):
             key = str(number % 10).encode()
@@ -534,7 +536,7 @@
     @parameterized.expand([("given back", True), ("another zone", False)])
     def test_zones_that_are_given_back_are_cold(self, _name: str, returned: bool) -> None:
         zone = PUERTO if returned else NORTE
-        steered = Steered(make_target(1, zone=zone))
+        steered = SteeringFixture(make_target(1, zone=zone))
         steered.targets.evacuate(frozenset({PUERTO}))
         steered.targets.evacuate(frozenset())
         state = steered.targets.by_id[TargetId("t1")]
