--- a/src/coralfall/defaults.py
+++ b/src/coralfall/defaults.py
@@ -320,7 +320,7 @@
 #: Seconds after which half of a target's word on its load is replaced by an entry's own knowledge.
 LOAD_HALF_LIFE_S = 1.5
 #: Most objects whose order of targets is kept.
-MAX_CACHED_RANKINGS = 20_000
+AFFINITY_CACHE_OBJECTS = 20_000
 #: Seconds in which a connection to a target must be open.
 TARGET_CONNECT_S = 0.35
 #: Seconds for which sent bytes may stay unacknowledged before their connection is given up.
@@ -328,7 +328,7 @@
 #: Failed connections and failed exchanges in a row after which a target rests.
 EJECTION_FAILURES = 3
 #: Seconds for which it rests, at first and at most.
-BASE_EJECTION_S = 0.3
+EJECTION_S = 0.3
 MAX_EJECTION_S = 2.0
 #: Files that a process may have open, and those of them that callers' connections don't get: the
 #: platform keeps two hundred for files, and the store, other entries and listeners need some.
--- a/src/coralfall/placement/affinity.py
+++ b/src/coralfall/placement/affinity.py
@@ -319,7 +319,7 @@
         ranked = self._ranked.get((service, key, regions))
         if ranked is None:
             ranked = self._ranked[service, key, regions] = self._make_ranked(service, key, regions)
-            if len(self._ranked) > defaults.MAX_CACHED_RANKINGS:
+            if len(self._ranked) > defaults.AFFINITY_CACHE_OBJECTS:
                 self._ranked.popitem(last=False)
         return ranked
 
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -283,7 +283,7 @@
             self.assertTrue(state.is_usable())
             state.record_failure(reached)
         self.assertFalse(state.is_usable())
-        steered.clock.advance(defaults.BASE_EJECTION_S)
+        steered.clock.advance(defaults.EJECTION_S)
         self.assertTrue(state.is_usable())
 
     @parameterized.expand(
