--- a/src/coralfall/placement/__init__.py
+++ b/src/coralfall/placement/__init__.py
@@ -1,8 +1,8 @@
-"""Placement: the decisions on where a request runs, whether it waits, and when it is turned away.
+"""Placement: decides which target serves a request, whether it waits, and when it is rejected.
 
-Nothing here reads, writes or sleeps: decisions take the time from a clock that they are given, and
-what they know from calls. :mod:`.affinity` places, by :mod:`.shares`, :mod:`.speed` and
-:mod:`.cold`; :mod:`.admission` says what can still be served in time; :mod:`.budget` bounds second
-sends; :mod:`.split` deals a route's requests to its services; :mod:`.targets` is what is known of
-each target.
+Nothing here does I/O or sleeps: the time comes from an injected clock, all other input from calls.
+:mod:`.affinity` selects targets, using :mod:`.locality`, :mod:`.slow_targets` and
+:mod:`.cold_targets`; :mod:`.admission` estimates which requests can still be answered in time;
+:mod:`.retry_budget` limits additional sends of a request; :mod:`.weighted_split` distributes the
+requests of a route over its services; :mod:`.targets` holds what is known of each target.
 """
--- a/src/coralfall/placement/cold_targets.py
+++ b/src/coralfall/placement/cold_targets.py
@@ -1,8 +1,9 @@
-"""Cold targets: how few requests each entry may send them, so that all together stay in bounds.
+"""Cold targets: divides the request rate that a target bears while it warms up among the entries.
 
-A bound for all entries can't be divided among hundreds of them without rounding to nothing.
-Some entries, ranked by a hash of target and entry, each get a whole part; the others none. Two
-entries that disagree for a moment on who is alive must still fit, so half of the bound is dealt.
+An equal division among hundreds of entries would round to nothing. Instead, the entries that come
+first by a hash of target and entry (rendezvous hashing) may each send one request a second, and the
+others none. Only a part of the limit is distributed, so that it also holds while entries disagree
+on which of them are alive.
 """
 
 import hashlib
@@ -11,33 +12,33 @@
 if t.TYPE_CHECKING:
     from ..ids import EntryId, TargetId
 
-#: Part of the bound that is dealt to entries.
-_DEALT = 0.6
+#: Fraction of the limit that is distributed to entries.
+_DISTRIBUTED_FRACTION = 0.6
 _SPAN_S = 1.0
 
 
 class SlidingWindowLimiter:
-    """Lets few requests pass in any second."""
+    """Limits the requests of any second, by a sliding-window log."""
 
-    __slots__ = ("_passed",)
+    __slots__ = ("_sent_at",)
 
     def __init__(self) -> None:
-        self._passed: t.List[float] = []
+        self._sent_at: t.List[float] = []
 
-    def has_room(self, now: float, most: int) -> bool:
-        """Whether one more may pass."""
-        self._passed = [at for at in self._passed if at > now - _SPAN_S]
-        return len(self._passed) < most
+    def has_room(self, now: float, max_requests: int) -> bool:
+        """Whether one more request is allowed now."""
+        self._sent_at = [at for at in self._sent_at if at > now - _SPAN_S]
+        return len(self._sent_at) < max_requests
 
     def record(self, now: float) -> None:
-        """Count one that passes."""
-        self._passed.append(now)
+        """Counts a request."""
+        self._sent_at.append(now)
 
 
 class ColdTargetShares:
-    """This entry's part of what all entries together may send to each cold target.
+    """This entry's part of the request rate that all entries may send to each cold target.
 
-    :param entry_id: of this entry.
+    :param entry_id: id of this entry.
     """
 
     def __init__(self, entry_id: "EntryId") -> None:
@@ -46,31 +47,31 @@
         self._share_by_target: t.Dict[t.Tuple["TargetId", int], int] = {}
 
     def set_entries(self, entries: "t.Collection[EntryId]") -> None:
-        """Take in which entries may be running, this one included."""
+        """Sets the entries that may be running, this one included."""
         if entries is self._entries:
             return
         self._entries = entries
         self._share_by_target.clear()
 
     def allowance_of(self, target_id: "TargetId", per_s: float) -> int:
-        """Requests in a second that this entry may send to a cold target.
+        """Requests a second that this entry may send to a cold target.
 
-        :param per_s: bound on all entries together.
+        :param per_s: limit for all entries together.
         """
-        dealt = int(per_s * _DEALT)
+        distributed = int(per_s * _DISTRIBUTED_FRACTION)
         count = max(1, len(self._entries))
-        if dealt >= count:
-            return dealt // count
-        # Kept, as each look would hash all entries.
-        share = self._share_by_target.get((target_id, dealt))
+        if distributed >= count:
+            return distributed // count
+        # Cached, since each computation hashes all entries.
+        share = self._share_by_target.get((target_id, distributed))
         if share is None:
-            share = 1 if self._is_dealt_one(target_id, dealt) else 0
-            self._share_by_target[target_id, dealt] = share
+            share = 1 if self._is_among_first(target_id, distributed) else 0
+            self._share_by_target[target_id, distributed] = share
         return share
 
-    def _is_dealt_one(self, target_id: "TargetId", dealt: int) -> bool:
-        """Whether fewer others than there are parts come before this entry."""
-        if not dealt:
+    def _is_among_first(self, target_id: "TargetId", distributed: int) -> bool:
+        """Whether this entry is among the first ``distributed`` ones by their hashes."""
+        if not distributed:
             return False
         own = _weight(self._entry_id, target_id)
         before = 0
@@ -78,7 +79,7 @@
             if _weight(other, target_id) >= own:
                 continue
             before += 1
-            if before == dealt:
+            if before == distributed:
                 return False
         return True
 
--- a/src/coralfall/placement/departures.py
+++ b/src/coralfall/placement/departures.py
@@ -1,8 +1,8 @@
-"""Departures: lifetimes of targets that said in an answer that they leave.
+"""Departures: lifetimes of targets that announced in an answer that they are leaving.
 
-A lifetime that leaves does not come back, so this is a set that only grows, until its targets have
-been unknown for long. Entries tell each other: what is news goes with each message, and two whose
-sums differ tell each other all (anti-entropy over a grow-only set).
+A departure is final, so this is a grow-only set, from which lifetimes expire once their targets
+have been unknown for long. Entries replicate it by gossip: each message carries the recent
+additions, and two entries whose checksums differ exchange the whole set (anti-entropy).
 """
 
 import typing as t
@@ -17,39 +17,39 @@
     from ..traffic.model import Target
     from .targets import TargetState
 
-#: Seconds for which a departure is remembered once its target is known no more: a row that is lost
-#: in an outage may return.
-_FORGET_S = 600.0
+#: Seconds for which a departure is kept after its target was last known: a row that is lost in an
+#: outage may return.
+_RETENTION_S = 600.0
 
 
 class Departures:
-    """Lifetimes that leave.
+    """Replicated set of the lifetimes that are leaving.
 
-    :param clock: tells the time.
+    :param clock: time source.
     """
 
     def __init__(self, clock: "Clock") -> None:
         self._clock = clock
-        #: When the target of each was last among those that there are.
+        #: Monotonic time at which the target of each lifetime was last known.
         self._seen_at: t.Dict[Lifetime, float] = {}
-        #: When this entry learnt of those that are news.
-        self._news: t.Dict[Lifetime, float] = {}
-        #: Those whose targets are among the ones that there are, and the sum over them.
-        self._present: t.Tuple[Lifetime, ...] = ()
-        self._sum = 0
-        #: Those that this entry learnt of by an answer, by service.
+        #: Monotonic time at which this entry learnt of each recent departure.
+        self._learnt_at: t.Dict[Lifetime, float] = {}
+        #: Departures whose targets are known, and the checksum over them.
+        self._known_lifetimes: t.Tuple[Lifetime, ...] = ()
+        self._checksum = 0
+        #: Number of departures that this entry learnt of from an answer, by service.
         self.detected_by_service: t.Dict[str, int] = {}
-        #: Called when more lifetimes leave.
+        #: Called when departures are added.
         self.on_change: t.Callable[[], None] = lambda: None
-        #: Called when there is something to tell the others: at once, or when there is room.
+        #: Called when there are updates for others; the argument is whether they are urgent.
         self.on_update: t.Callable[[bool], None] = lambda at_once: None
 
     def includes(self, target: "Target") -> bool:
-        """Whether a target's lifetime leaves."""
+        """Whether the lifetime of a target is leaving."""
         return bool(self._seen_at) and lifetime_of(target) in self._seen_at
 
     def record(self, target: "Target") -> None:
-        """Takes in that an answer of a target says that it leaves."""
+        """Records that a target announced its departure in an answer."""
         lifetime = lifetime_of(target)
         if lifetime in self._seen_at:
             return
@@ -61,7 +61,7 @@
         self.on_update(False)
 
     def merge(self, lifetimes: t.Iterable[Lifetime]) -> None:
-        """Takes in what another entry knows."""
+        """Adds departures that another entry sent."""
         new = [lifetime for lifetime in lifetimes if lifetime not in self._seen_at]
         if not new:
             return
@@ -74,48 +74,50 @@
         self._add(new)
 
     def recent_updates(self) -> t.Tuple[Lifetime, ...]:
-        """What is news still, the latest first."""
-        latest = sorted(self._news, key=lambda lifetime: self._news[lifetime], reverse=True)
+        """Departures that are still gossiped, the latest first."""
+        latest = sorted(
+            self._learnt_at, key=lambda lifetime: self._learnt_at[lifetime], reverse=True
+        )
         return tuple(latest[: defaults.MAX_GOSSIP_DEPARTURES])
 
     def snapshot(self) -> t.Tuple[Lifetime, ...]:
-        """Those whose targets are among the ones that there are."""
-        return self._present
+        """All departures whose targets are known."""
+        return self._known_lifetimes
 
     def checksum(self) -> int:
-        """A number that two entries share if they agree on :meth:`all`."""
-        return self._sum
+        """Checksum that is equal at entries with equal :meth:`snapshot`."""
+        return self._checksum
 
     def _add(self, lifetimes: t.Iterable[Lifetime]) -> None:
         now = self._clock.monotonic()
         for lifetime in lifetimes:
             self._seen_at[lifetime] = now
-            self._news[lifetime] = now
+            self._learnt_at[lifetime] = now
         self._index(now)
         self.on_change()
 
     def _index(self, now: float) -> None:
         since = now - defaults.GOSSIP_UPDATE_TTL_S
-        present = tuple([one for one, seen_at in self._seen_at.items() if seen_at > since])
-        if present == self._present:
+        known_lifetimes = tuple([one for one, seen_at in self._seen_at.items() if seen_at > since])
+        if known_lifetimes == self._known_lifetimes:
             return
-        self._present = present
-        self._sum = 0
-        for lifetime in present:
-            self._sum ^= lifetime.digest()
+        self._known_lifetimes = known_lifetimes
+        self._checksum = 0
+        for lifetime in known_lifetimes:
+            self._checksum ^= lifetime.digest()
 
     def tick(self, targets: "t.Mapping[TargetId, TargetState]") -> None:
-        """Compares the departures with the targets that there are."""
+        """Refreshes the departures by the known targets, and drops expired ones."""
         if not self._seen_at:
             return
         now = self._clock.monotonic()
-        for lifetime, learnt_at in list(self._news.items()):
+        for lifetime, learnt_at in list(self._learnt_at.items()):
             if now - learnt_at >= defaults.GOSSIP_UPDATE_TTL_S:
-                del self._news[lifetime]
+                del self._learnt_at[lifetime]
         for lifetime, seen_at in list(self._seen_at.items()):
             state = targets.get(lifetime.target_id)
             if state is not None and lifetime_of(state.target) == lifetime:
                 self._seen_at[lifetime] = now
-            elif now - seen_at >= _FORGET_S:
+            elif now - seen_at >= _RETENTION_S:
                 del self._seen_at[lifetime]
         self._index(now)
--- a/src/coralfall/placement/fingerprint.py
+++ b/src/coralfall/placement/fingerprint.py
@@ -1,9 +1,9 @@
-"""Fingerprints: name what a target is given of a request, so that it is known when it comes again.
+"""Fingerprints: identify a request by its content, so that repetitions of it are recognized.
 
-Each attempt of a caller has its own id, and any entry may get it. What a target does with it
-follows from method, host, path, the object that it concerns, the caller's credentials and its body,
-and from nothing else that a target is given. The caller's address is kept beside it: targets never
-see it, but a request of another caller may differ in what nobody here looks at.
+Each attempt of a caller has its own id and may reach any entry. The behaviour of a target depends
+on method, host, path, affinity object, credentials and body of the request, and on nothing else
+that it receives; these are hashed (BLAKE2b). The caller's address is hashed separately: targets
+never see it, but a request of another caller may differ in parts that the fingerprint leaves out.
 """
 
 import hashlib
@@ -11,16 +11,16 @@
 
 import msgspec
 
-_BYTES = 8
+_DIGEST_BYTES = 8
 
-#: Names a caller by its address.
+#: Hash of a caller's address.
 CallerDigest = t.NewType("CallerDigest", int)
-#: Names method, host, path, object and credentials of a request.
+#: Hash of method, host, path, object and credentials of a request.
 HeadDigest = t.NewType("HeadDigest", int)
 
 
 class Fingerprint(msgspec.Struct, frozen=True, array_like=True):
-    """One request, however often it comes."""
+    """Identifies a request across all of its attempts."""
 
     head: HeadDigest
     body: int
@@ -32,31 +32,33 @@
 def head_digest(
     method: str, host: str, path: str, object_key: t.Optional[bytes], credentials: t.Optional[bytes]
 ) -> HeadDigest:
-    """Names a request without its body.
+    """Hashes a request without its body.
 
-    :param path: with its query.
-    :param object_key: what the request concerns, if its caller says.
-    :param credentials: what the caller proves itself by, if anything.
+    :param path: path with the query.
+    :param object_key: object that the request concerns, if the caller names one.
+    :param credentials: credentials of the caller, if any.
     """
     parts = (method.encode(), host.encode(), path.encode(), object_key or b"", credentials or b"")
     return HeadDigest(_digest(b"\0".join(parts), b"head"))
 
 
 def fingerprint(head: HeadDigest, body: bytes) -> Fingerprint:
-    """Names a request.
+    """Fingerprint of a request.
 
-    :param body: all of it.
+    :param body: the whole body.
     """
     return Fingerprint(head, _digest(body, b"body") if body else 0)
 
 
 def caller_digest(address: str) -> CallerDigest:
-    """Names a caller.
+    """Hashes the address of a caller.
 
-    :param address: its IP number.
+    :param address: IP address.
     """
     return CallerDigest(_digest(address.encode(), b"caller"))
 
 
 def _digest(data: bytes, purpose: bytes) -> int:
-    return int.from_bytes(hashlib.blake2b(data, digest_size=_BYTES, person=purpose).digest(), "big")
+    return int.from_bytes(
+        hashlib.blake2b(data, digest_size=_DIGEST_BYTES, person=purpose).digest(), "big"
+    )
--- a/src/coralfall/placement/lifetime.py
+++ b/src/coralfall/placement/lifetime.py
@@ -1,4 +1,4 @@
-"""Lifetimes of targets: from one start of a target's process to its end."""
+"""Lifetimes of targets: a lifetime lasts from the start of a target's process to its end."""
 
 import hashlib
 import typing as t
@@ -12,20 +12,20 @@
 
 
 class Lifetime(msgspec.Struct, frozen=True, array_like=True):
-    """Names one lifetime of a target."""
+    """Identifies one lifetime of a target."""
 
     target_id: TargetId
-    #: Start in milliseconds of the Unix epoch, 0 if the target does not tell it.
+    #: Start in milliseconds since the Unix epoch, 0 if unknown.
     born: int
     #: ``ip:port``.
     address: str
 
     def digest(self) -> int:
-        """A number of 64 bits that is the same at all entries."""
+        """64-bit hash that is the same at all entries."""
         text = f"{self.target_id} {self.born} {self.address}"
         return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def lifetime_of(target: "Target") -> Lifetime:
-    """The lifetime that a target's row tells of."""
+    """The lifetime that the row of a target describes."""
     return Lifetime(target.target_id, target.born or 0, target.address)
--- a/src/coralfall/placement/quarantine.py
+++ b/src/coralfall/placement/quarantine.py
@@ -1,10 +1,10 @@
-"""Quarantine: a request that ends the targets that run it is sent to no more of them.
+"""Quarantine: blocks requests that crash the targets that run them (poison requests).
 
-A request may end the process of each target that begins it. Its caller sends it again, at any
-entry, and within seconds a service has no target left. What a target had in hand as it ended is
-suspected, and what was in hand at several ends is at fault. Other requests end with it, at times
-twice or more, as they go on to the same next target. The one at fault is told from them by two
-things: it was there each time, and no target ever answered it.
+A request may crash each target that runs it. Its caller retries it, at any entry, and within
+seconds a service has no target left. The requests that were in flight at a crash are suspects, and
+one that was in flight at several crashes is quarantined. Innocent requests may also be in flight at
+two or more crashes, since they are retried at the same next target. The poison request differs
+from them in two ways: it was in flight at each crash, and no target ever answered it.
 """
 
 import hashlib
@@ -20,28 +20,28 @@
     from ..ids import TargetId
     from ..process.clock import Clock
 
-#: Names the end of one lifetime of a target.
+#: Identifies the crash of one lifetime of a target.
 CrashDigest = t.NewType("CrashDigest", int)
-_BYTES = 8
+_DIGEST_BYTES = 8
 
 
 class Suspect(msgspec.Struct, frozen=True, array_like=True):
-    """A request that targets had in hand as they ended, as entries tell each other of it."""
+    """A request that was in flight at crashes of targets, as entries send it in gossip."""
 
     fingerprint: Fingerprint
-    #: Who sent it.
+    #: Callers that sent the request.
     callers: t.Tuple[CallerDigest, ...]
     crashes: t.Tuple[CrashDigest, ...]
-    #: Those of the crashes that it had no part in: it was answered after them.
+    #: The crashes that it did not cause, since a target answered it later.
     cleared: t.Tuple[CrashDigest, ...]
-    #: Whether it was sent to a target on trial since it is refused.
+    #: Whether it was sent to a target on trial since it was quarantined.
     tried: bool
-    #: Seconds since it last came, or was last in hand at a crash, as far as the sender knows.
+    #: Seconds since it last arrived, or was last in flight at a crash, as far as the sender knows.
     age_s: float
 
 
 class _Record:
-    """What is known of one suspect."""
+    """State of one suspect."""
 
     __slots__ = (
         "callers",
@@ -61,31 +61,31 @@
         self.cleared: t.Set[CrashDigest] = set()
         self.tried = False
         self.seen_at = now
-        #: When a crash was last learnt of.
+        #: Monotonic time at which a crash was last added.
         self.crashed_at = now
-        #: When something was new here.
+        #: Monotonic time of the last change.
         self.learnt_at = now
 
     @property
     def counted(self) -> t.Set[CrashDigest]:
-        """Crashes that it may be the cause of."""
+        """Crashes that it may have caused."""
         return self.crashes - self.cleared
 
     @property
-    def matters(self) -> bool:
-        """Whether more than one target ended with it; most that a crash takes along come once."""
+    def is_repeated(self) -> bool:
+        """Whether it was in flight at several crashes; most innocent requests are at only one."""
         return len(self.crashes) > 1
 
     def merge(self, suspect: Suspect) -> bool:
-        """Take in what another entry knows; whether that was new."""
-        before = self._extent()
+        """Merges what another entry knows, and returns whether that changed anything."""
+        before = self._sizes()
         self.callers.update(suspect.callers)
         self.crashes.update(suspect.crashes)
         self.cleared.update(suspect.cleared)
         self.tried = self.tried or suspect.tried
-        return before != self._extent()
+        return before != self._sizes()
 
-    def _extent(self) -> t.Tuple[int, int, int, bool]:
+    def _sizes(self) -> t.Tuple[int, int, int, bool]:
         return len(self.callers), len(self.crashes), len(self.cleared), self.tried
 
     def suspect(self, now: float) -> Suspect:
@@ -105,52 +105,52 @@
 
 
 class Quarantine:
-    """Suspected requests by fingerprint, and which of them are refused.
+    """Suspect requests by fingerprint, and which of them are quarantined.
 
-    :param hold_s: seconds for which a suspect is remembered once it comes no more; 0 to suspect
-        nobody.
-    :param clock: tells the time.
+    :param retention_s: seconds for which a suspect is kept after it last arrived; 0 disables the
+        quarantine.
+    :param clock: time source.
     """
 
-    def __init__(self, hold_s: float, clock: "Clock") -> None:
-        self._hold_s = hold_s
+    def __init__(self, retention_s: float, clock: "Clock") -> None:
+        self._retention_s = retention_s
         self._clock = clock
         self._by_fingerprint: t.Dict[Fingerprint, _Record] = {}
         self._by_crash: t.Dict[CrashDigest, t.Set[Fingerprint]] = {}
-        self._heads: t.Dict[int, int] = {}
-        self._refused: t.FrozenSet[Fingerprint] = frozenset()
-        #: Kept until something changes; it is asked for many times a second.
-        self._sum: t.Optional[int] = None
-        #: Tells which one entry may send a refused request on trial.
+        self._suspects_by_head: t.Dict[int, int] = {}
+        self._quarantined: t.FrozenSet[Fingerprint] = frozenset()
+        #: Cached until a change, since it is read many times a second.
+        self._checksum: t.Optional[int] = None
+        #: Tells whether this entry is the one that may send a quarantined request on trial.
         self.runs_trial: t.Callable[[Fingerprint], bool] = lambda fingerprint: True
-        #: Called when there is something to tell the others: at once, or when there is room.
+        #: Called when there are updates for others; the argument is whether they are urgent.
         self.on_update: t.Callable[[bool], None] = lambda at_once: None
 
-    def set_retention(self, hold_s: float) -> None:
-        """Remember suspects for so long from now on."""
-        self._hold_s = hold_s
+    def set_retention(self, retention_s: float) -> None:
+        """Changes the retention time of suspects."""
+        self._retention_s = retention_s
         self.expire()
 
     @property
     def is_empty(self) -> bool:
-        """Whether nobody is suspected."""
+        """Whether there are no suspects."""
         return not self._by_fingerprint
 
     def has_suspect_head(self, head: int) -> bool:
-        """Whether some suspect has this head, so that it is worth to look at the body, too."""
-        return head in self._heads
+        """Whether some suspect has this head, so that the body has to be hashed, too."""
+        return head in self._suspects_by_head
 
     def refused_count(self) -> int:
-        """How many requests are sent to no target."""
-        return len(self._refused)
+        """Number of quarantined requests."""
+        return len(self._quarantined)
 
     def refuses(self, fingerprint: Fingerprint, caller: CallerDigest) -> bool:
-        """Whether a request must not be sent to a target.
+        """Whether a request is quarantined for a caller.
 
-        If one caller alone sent it each time, others may go on: what they send may differ in what
-        no fingerprint shows.
+        If a single caller sent it each time, it is not blocked for others: their requests may
+        differ in parts that the fingerprint leaves out.
         """
-        if fingerprint not in self._refused:
+        if fingerprint not in self._quarantined:
             return False
         record = self._by_fingerprint[fingerprint]
         if len(record.callers) == 1 and caller not in record.callers:
@@ -159,10 +159,11 @@
         return True
 
     def start_trial(self, fingerprint: Fingerprint) -> bool:
-        """Whether a refused request is sent to one target all the same, once, on trial.
+        """Starts the trial of a quarantined request, which is sent to one target, and only once.
 
-        Targets may have ended of something else, that is over. If one answers, it is refused no
-        more; a request that is at fault costs one target more for that.
+        The targets may have crashed for another reason that is over. If the target answers, the
+        request is released; a poison request costs one more target. Returns whether this entry
+        starts the trial now.
         """
         record = self._by_fingerprint[fingerprint]
         now = self._clock.monotonic()
@@ -173,97 +174,99 @@
         log.info("request.tried", fingerprint=fingerprint, crashes=len(record.counted))
         record.tried = True
         record.learnt_at = now
-        self._sum = None
+        self._checksum = None
         self.on_update(True)
         return True
 
     def record_crash(
         self, crash: CrashDigest, requests: t.Iterable[t.Tuple[Fingerprint, CallerDigest]]
     ) -> None:
-        """Take in what a target had in hand as it ended."""
-        if not self._hold_s:
+        """Records the requests that were in flight at a crash."""
+        if not self._retention_s:
             return
         now = self._clock.monotonic()
-        again = False
+        any_repeated = False
         for fingerprint, caller in requests:
             record = self._record_of(fingerprint, now)
             record.seen_at = now
-            self._learn(record, Suspect(fingerprint, (caller,), (crash,), (), False, 0.0), now)
-            again = again or record.matters
-        self._look("own" if again else None)
-        self.on_update(again)
+            self._merge_into(record, Suspect(fingerprint, (caller,), (crash,), (), False, 0.0), now)
+            any_repeated = any_repeated or record.is_repeated
+        self._reevaluate("own" if any_repeated else None)
+        self.on_update(any_repeated)
 
     def record_answer(self, fingerprint: Fingerprint) -> None:
-        """Take in that a target ran a request and answered it: it is not why others ended."""
+        """Records that a target answered a request, which clears it of its crashes so far."""
         record = self._by_fingerprint.get(fingerprint)
         if record is None or not record.counted:
             return
         record.cleared |= record.crashes
         record.learnt_at = self._clock.monotonic()
-        self._look("answered")
-        self.on_update(record.matters)
+        self._reevaluate("answered")
+        self.on_update(record.is_repeated)
 
     def merge(self, suspects: t.Iterable[Suspect]) -> None:
-        """Take in what another entry knows."""
+        """Merges suspects that another entry sent."""
         now = self._clock.monotonic()
         changed = False
         for suspect in suspects:
-            if suspect.age_s >= self._hold_s:
+            if suspect.age_s >= self._retention_s:
                 continue
             record = self._record_of(suspect.fingerprint, now - suspect.age_s)
             record.seen_at = max(record.seen_at, now - suspect.age_s)
-            if self._learn(record, suspect, now):
-                changed = changed or record.matters
+            if self._merge_into(record, suspect, now):
+                changed = changed or record.is_repeated
         if changed:
-            self._look("told")
+            self._reevaluate("told")
 
     def recent_updates(self) -> t.Tuple[Suspect, ...]:
-        """What is news still, the most suspected first."""
+        """Suspects that are still gossiped, those with the most crashes first."""
         if not self._by_fingerprint:
             return ()
         now = self._clock.monotonic()
         since = now - defaults.GOSSIP_UPDATE_TTL_S
-        news = [one for one in self._by_fingerprint.values() if one.learnt_at > since]
-        news.sort(key=lambda one: (len(one.counted), one.learnt_at), reverse=True)
-        return tuple([one.suspect(now) for one in news[: defaults.MAX_GOSSIP_SUSPECT_REQUESTS]])
+        recent = [one for one in self._by_fingerprint.values() if one.learnt_at > since]
+        recent.sort(key=lambda one: (len(one.counted), one.learnt_at), reverse=True)
+        return tuple([one.suspect(now) for one in recent[: defaults.MAX_GOSSIP_SUSPECT_REQUESTS]])
 
     def snapshot(self) -> t.Tuple[Suspect, ...]:
-        """All that more than one target ended with."""
+        """All suspects that were in flight at more than one crash."""
         now = self._clock.monotonic()
-        return tuple([one.suspect(now) for one in self._by_fingerprint.values() if one.matters])
+        return tuple([one.suspect(now) for one in self._by_fingerprint.values() if one.is_repeated])
 
     def checksum(self) -> int:
-        """A number that two entries share if they agree on all that :meth:`all` tells."""
-        if self._sum is None:
-            self._sum = 0
+        """Checksum that is equal at entries with equal :meth:`snapshot`."""
+        if self._checksum is None:
+            self._checksum = 0
             for record in self._by_fingerprint.values():
-                if record.matters:
-                    self._sum ^= record.digest()
-        return self._sum
+                if record.is_repeated:
+                    self._checksum ^= record.digest()
+        return self._checksum
 
     def expire(self) -> None:
-        """Let go of suspects that came no more, and of the least suspected if there are many."""
-        since = self._clock.monotonic() - self._hold_s
-        gone = [one for one in self._by_fingerprint.values() if one.seen_at <= since]
-        surplus = len(self._by_fingerprint) - len(gone) - defaults.MAX_SUSPECT_REQUESTS
+        """Drops suspects past their retention, and those with the fewest crashes if too many."""
+        since = self._clock.monotonic() - self._retention_s
+        expired = [one for one in self._by_fingerprint.values() if one.seen_at <= since]
+        surplus = len(self._by_fingerprint) - len(expired) - defaults.MAX_SUSPECT_REQUESTS
         if surplus > 0:
             kept = [one for one in self._by_fingerprint.values() if one.seen_at > since]
             kept.sort(key=lambda one: (len(one.counted), one.seen_at))
-            gone += kept[:surplus]
-        if not gone:
+            expired += kept[:surplus]
+        if not expired:
             return
-        for record in gone:
+        for record in expired:
             self._drop(record)
-        self._look("forgotten")
+        self._reevaluate("forgotten")
 
     def _record_of(self, fingerprint: Fingerprint, seen_at: float) -> _Record:
         record = self._by_fingerprint.get(fingerprint)
         if record is None:
             record = self._by_fingerprint[fingerprint] = _Record(fingerprint, seen_at)
-            self._heads[fingerprint.head] = self._heads.get(fingerprint.head, 0) + 1
+            self._suspects_by_head[fingerprint.head] = (
+                self._suspects_by_head.get(fingerprint.head, 0) + 1
+            )
         return record
 
-    def _learn(self, record: _Record, suspect: Suspect, now: float) -> bool:
+    def _merge_into(self, record: _Record, suspect: Suspect, now: float) -> bool:
         if not record.merge(suspect):
             return False
         record.learnt_at = now
@@ -276,47 +279,51 @@
     def _drop(self, record: _Record) -> None:
         del self._by_fingerprint[record.fingerprint]
         for crash in record.crashes:
-            listed = self._by_crash[crash]
-            listed.discard(record.fingerprint)
-            if not listed:
+            suspects = self._by_crash[crash]
+            suspects.discard(record.fingerprint)
+            if not suspects:
                 del self._by_crash[crash]
         head = record.fingerprint.head
-        self._heads[head] -= 1
-        if not self._heads[head]:
-            del self._heads[head]
+        self._suspects_by_head[head] -= 1
+        if not self._suspects_by_head[head]:
+            del self._suspects_by_head[head]
 
-    def _look(self, evidence: t.Optional[str]) -> None:
-        """Find out who is at fault, after something changed that may bear on that."""
-        self._sum = None
+    def _reevaluate(self, evidence: t.Optional[str]) -> None:
+        """Recomputes which requests are quarantined, after a change for the reason ``evidence``."""
+        self._checksum = None
         if evidence is None:
             return
-        refused = frozenset(
-            [one.fingerprint for one in self._by_fingerprint.values() if self._is_at_fault(one)]
+        quarantined = frozenset(
+            [
+                one.fingerprint
+                for one in self._by_fingerprint.values()
+                if self._should_quarantine(one)
+            ]
         )
-        for fingerprint in refused - self._refused:
+        for fingerprint in quarantined - self._quarantined:
             record = self._by_fingerprint[fingerprint]
             log.warning(
                 "request.quarantined",
                 fingerprint=fingerprint,
                 crashes=len(record.counted),
-                alone=self._alone(record),
+                alone=self._count_exclusive_crashes(record),
                 callers=len(record.callers),
                 evidence=evidence,
             )
-        for fingerprint in self._refused - refused:
+        for fingerprint in self._quarantined - quarantined:
             log.info("request.released", fingerprint=fingerprint, evidence=evidence)
-        self._refused = refused
+        self._quarantined = quarantined
 
-    def _is_at_fault(self, record: _Record) -> bool:
+    def _should_quarantine(self, record: _Record) -> bool:
         crashes = len(record.counted)
         if crashes < defaults.QUARANTINE_CRASHES:
             return False
         if crashes >= defaults.QUARANTINE_AMBIGUOUS_CRASHES:
             return True
-        return self._alone(record) >= defaults.QUARANTINE_CRASHES
+        return self._count_exclusive_crashes(record) >= defaults.QUARANTINE_CRASHES
 
-    def _alone(self, record: _Record) -> int:
-        """At how many crashes nobody else was in hand that was at as many."""
+    def _count_exclusive_crashes(self, record: _Record) -> int:
+        """Number of its crashes at which no other suspect with as many crashes was in flight."""
         crashes = len(record.counted)
         alone = 0
         for crash in record.counted:
@@ -327,12 +334,12 @@
 
 
 def crash_digest(target_id: "TargetId", born: t.Optional[int]) -> CrashDigest:
-    """Names the end of a lifetime.
+    """Identifies the crash of a lifetime.
 
-    :param born: when it began, if that is told.
+    :param born: start of the lifetime, if known.
     """
     return CrashDigest(_digest(f"{target_id}\0{born}".encode()))
 
 
 def _digest(data: bytes) -> int:
-    return int.from_bytes(hashlib.blake2b(data, digest_size=_BYTES).digest(), "big")
+    return int.from_bytes(hashlib.blake2b(data, digest_size=_DIGEST_BYTES).digest(), "big")
--- a/src/coralfall/placement/retry_budget.py
+++ b/src/coralfall/placement/retry_budget.py
@@ -1,4 +1,8 @@
-"""Budget of second sends: what all entries together may send beyond the first of each request."""
+"""Retry budget: bounds the sends beyond the first of each request, over all entries together.
+
+Requests and additional sends are counted in a sliding window; the additional sends of a service may
+make up a fixed ratio of its requests, plus this entry's part of a fixed number.
+"""
 
 import collections
 import typing as t
@@ -8,14 +12,14 @@
     from ..process.clock import Clock
     from ..traffic.settings import BoundSettings
 
-#: Part of what is allowed that is used; entries do not see each other's windows.
-_USED = 0.7
-#: Seconds that are counted together.
+#: Fraction of the allowed sends that is used, since entries do not see each other's windows.
+_USED_FRACTION = 0.7
+#: Seconds of one slice of the sliding window.
 _SLICE_S = 0.5
 
 
 class _Window:
-    """Counts events within the last seconds, by slices of time."""
+    """Counts the events of a sliding window, by slices of time."""
 
     def __init__(self, span_s: float) -> None:
         self._slices = int(span_s / _SLICE_S) + 1
@@ -37,39 +41,39 @@
 
 
 class SharedRetryBudget:
-    """This entry's part of the second sends that the users allow for each service.
+    """This entry's part of the additional sends that are allowed for each service.
 
-    Its own requests bring their share with them; the number that is allowed on top is divided
-    among the entries. Where it rounds to nothing, the share alone counts.
+    The ratio applies to the entry's own requests; the fixed number is divided among the entries.
+    Where that rounds to nothing, the ratio alone counts.
 
-    :param bounds: what is allowed.
-    :param clock: tells the time.
+    :param bounds: ratio, fixed number and window.
+    :param clock: time source.
     """
 
     def __init__(self, bounds: "BoundSettings", clock: "Clock") -> None:
         self.bounds = bounds
         self._clock = clock
         self._requests: t.Dict["ServiceId", _Window] = {}
-        self._seconds: t.Dict["ServiceId", _Window] = {}
-        #: How many entries share the budget.
+        self._extra_sends: t.Dict["ServiceId", _Window] = {}
+        #: Number of entries that share the budget.
         self.entry_count = 1
 
     def record_request(self, service: "ServiceId") -> None:
-        """Count a request."""
+        """Counts the first send of a request."""
         self._window(self._requests, service).add(self._clock.monotonic())
 
     def try_spend(self, service: "ServiceId") -> bool:
-        """Whether one more send of a request is allowed; counts it if so."""
+        """Counts one additional send, and returns True, if the budget allows it."""
         now = self._clock.monotonic()
         requests = self._window(self._requests, service)
-        seconds = self._window(self._seconds, service)
+        extra_sends = self._window(self._extra_sends, service)
         requests.trim(now)
-        seconds.trim(now)
+        extra_sends.trim(now)
         slack = self.bounds.budget_slack / max(1, self.entry_count)
-        allowed = (requests.total * self.bounds.budget_ratio + slack) * _USED
-        if seconds.total + 1 > allowed:
+        allowed = (requests.total * self.bounds.budget_ratio + slack) * _USED_FRACTION
+        if extra_sends.total + 1 > allowed:
             return False
-        seconds.add(now)
+        extra_sends.add(now)
         return True
 
     def _window(self, windows: "t.Dict[ServiceId, _Window]", service: "ServiceId") -> _Window:
--- a/src/coralfall/placement/slow_targets.py
+++ b/src/coralfall/placement/slow_targets.py
@@ -1,11 +1,11 @@
-"""Speed: which targets are slower than others of their service, and what they get less for it.
+"""Slow targets: detects latency outliers among the targets of a service and lowers their share.
 
 Targets of one service may differ in speed. One that takes three times as long as its neighbours
-with an object that it knows is late with all its objects, while others are idle. So an entry times
-its targets, by requests for objects that the target knows and that met no queue, and a slow target
-keeps only a part of the objects that are its by hash. The others go to the next in their order, in
-the same region. Nothing is agreed between entries; which objects go follows from a hash, so entries
-that measured about the same move about the same objects.
+with cached objects is late with all its objects, while others are idle. So each entry samples the
+latency of its targets, from requests for cached objects that met no queue, and a slow target keeps
+only a fraction of the objects that its hash assigns to it. The others go to the next target of
+their ranking in the same region. Entries do not coordinate; a hash selects the objects that move,
+so entries with similar samples move almost the same objects.
 """
 
 import collections
@@ -18,48 +18,48 @@
     from ..process.clock import Clock
     from .targets import TargetRegistry, TargetState
 
-#: Times that are kept of each target, and the fewest that say anything.
-_KEPT = 8
-_FEWEST = 3
-#: Seconds after which a time no longer counts.
-_COUNTS_S = 15.0
-#: Multiple of the typical time of a region's fastest targets up to which one is not slow.
-_EVEN = 1.25
-#: Seconds by which a time may differ for reasons that are not the target's.
-_EVEN_S = 0.02
-#: Least part of its objects that a target keeps, lest nobody sees that it is well again.
-_LEAST_PART = 0.1
-#: Seconds for which a comparison of targets is kept.
-_COMPARED_S = 0.5
-_SPAN = float(1 << 64)
+#: Most samples that are kept of each target, and the fewest that give a median.
+_MAX_SAMPLES = 8
+_MIN_SAMPLES = 3
+#: Seconds after which a sample expires.
+_SAMPLE_TTL_S = 15.0
+#: Multiple of the latency of a region's faster targets up to which a target is not slow.
+_SLOW_MULTIPLE = 1.25
+#: Seconds by which times may differ for reasons other than the target's speed.
+_SLOW_MARGIN_S = 0.02
+#: Minimum fraction of its objects that a target keeps, so that its recovery is noticed.
+_MIN_KEPT_FRACTION = 0.1
+#: Seconds between two comparisons of the targets of a service.
+_COMPARISON_INTERVAL_S = 0.5
+_HASH_RANGE = float(1 << 64)
 
 
 class LatencySamples:
-    """How long one target took lately with objects that it knows."""
+    """Recent times of one target with cached objects."""
 
-    __slots__ = ("_times",)
+    __slots__ = ("_samples",)
 
     def __init__(self) -> None:
-        self._times: t.Deque[t.Tuple[float, float]] = collections.deque(maxlen=_KEPT)
+        self._samples: t.Deque[t.Tuple[float, float]] = collections.deque(maxlen=_MAX_SAMPLES)
 
     def record(self, now: float, seconds: float) -> None:
-        """Take in one."""
-        self._times.append((now, seconds))
+        """Adds a sample."""
+        self._samples.append((now, seconds))
 
     def median_s(self, now: float) -> t.Optional[float]:
-        """Seconds, or None if too little is known."""
-        counting = [seconds for at, seconds in self._times if at > now - _COUNTS_S]
-        if len(counting) < _FEWEST:
+        """Median of the samples in seconds, or None if there are too few."""
+        counting = [seconds for at, seconds in self._samples if at > now - _SAMPLE_TTL_S]
+        if len(counting) < _MIN_SAMPLES:
             return None
         return statistics.median(counting)
 
 
 class SlowTargetDetector:
-    """Tells what part of its objects each target keeps.
+    """Computes the fraction of its objects that each target keeps.
 
     :param targets: all targets.
-    :param region_of: region of a target.
-    :param clock: tells the time.
+    :param region_of: returns the region of a target.
+    :param clock: time source.
     """
 
     def __init__(
@@ -72,45 +72,48 @@
         self._region_of = region_of
         self._clock = clock
         self._compared_at: t.Dict["ServiceId", float] = {}
-        self._part_by_id: t.Dict["ServiceId", t.Dict["TargetId", float]] = {}
+        self._fractions_by_service: t.Dict["ServiceId", t.Dict["TargetId", float]] = {}
 
     def kept_fraction(self, state: "TargetState") -> float:
-        """The part of its objects that a target keeps, from 0 to 1."""
+        """Fraction of its objects that a target keeps, from 0 to 1."""
         service = state.target.service
         now = self._clock.monotonic()
-        if now - self._compared_at.get(service, -float("inf")) >= _COMPARED_S:
+        if now - self._compared_at.get(service, -float("inf")) >= _COMPARISON_INTERVAL_S:
             self._compared_at[service] = now
-            self._part_by_id[service] = self._compare(service, now)
-        return self._part_by_id[service].get(state.target.target_id, 1.0)
+            self._fractions_by_service[service] = self._compare(service, now)
+        return self._fractions_by_service[service].get(state.target.target_id, 1.0)
 
     def keeps_object(self, state: "TargetState", key: bytes) -> bool:
-        """Whether a target keeps an object that is its by hash."""
+        """Whether a target keeps an object that its hash assigns to it."""
         part = self.kept_fraction(state)
-        return part >= 1.0 or _share_of(key, state.target.target_id) < part
+        return part >= 1.0 or _hash_position(key, state.target.target_id) < part
 
     def _compare(self, service: "ServiceId", now: float) -> t.Dict["TargetId", float]:
-        """Parts of the targets that are slow."""
+        """Kept parts of the slow targets."""
         typical_by_region: t.Dict[t.Optional["RegionId"], t.List[t.Tuple[float, "TargetState"]]] = (
             {}
         )
         for state in self._targets.of_service(service):
-            typical = state.latencies.median_s(now)
-            if typical is not None:
-                typical_by_region.setdefault(self._region_of(state), []).append((typical, state))
+            median_s = state.latencies.median_s(now)
+            if median_s is not None:
+                typical_by_region.setdefault(self._region_of(state), []).append((median_s, state))
         parts: t.Dict["TargetId", float] = {}
         for timed in typical_by_region.values():
-            even = _fast([typical for typical, _ in timed]) * _EVEN + _EVEN_S
-            for typical, state in timed:
-                if typical > even:
-                    parts[state.target.target_id] = max(_LEAST_PART, even / typical)
+            slow_above_s = (
+                _lower_quartile([median_s for median_s, _ in timed]) * _SLOW_MULTIPLE
+                + _SLOW_MARGIN_S
+            )
+            for median_s, state in timed:
+                if median_s > slow_above_s:
+                    parts[state.target.target_id] = max(_MIN_KEPT_FRACTION, slow_above_s / median_s)
         return parts
 
 
-def _fast(times: t.List[float]) -> float:
-    """The typical time of the faster targets: a quarter of them are faster still."""
+def _lower_quartile(times: t.List[float]) -> float:
+    """Lower quartile of the times."""
     return sorted(times)[len(times) // 4]
 
 
-def _share_of(key: bytes, target_id: "TargetId") -> float:
+def _hash_position(key: bytes, target_id: "TargetId") -> float:
     digest = hashlib.blake2b(target_id.encode(), key=key[:64], digest_size=8, person=b"speed")
-    return int.from_bytes(digest.digest(), "big") / _SPAN
+    return int.from_bytes(digest.digest(), "big") / _HASH_RANGE
--- a/src/coralfall/placement/target_limits.py
+++ b/src/coralfall/placement/target_limits.py
@@ -1,8 +1,8 @@
-"""Target limits: the requests a second that targets in need take from all entries together.
+"""Target limits: rate limits that targets set for the requests of all entries together.
 
-A target names its limit in its answers, for as long as it holds. Entries tell each other: each
-change that an answer shows gets a higher revision (a Lamport clock for each lifetime of a target),
-so that neither an answer nor news from before the change undo it.
+A target reports its limit in its answers, for as long as the limit is in force. Entries replicate
+limits by gossip: each change that an answer shows gets a higher revision (a Lamport clock for each
+lifetime of a target), so that neither an answer nor gossip from before the change undoes it.
 """
 
 import hashlib
@@ -21,29 +21,28 @@
     from ..traffic.model import Target
     from .targets import TargetState
 
-#: Seconds of a limit's rate that may be saved up, and the tokens beside that: owners that each have
-#: a part of the shares need more than one to hold a whole one.
-_SAVED_S = 0.5
-_SAVED_TOKENS = 4.0
-#: Rate in requests a second that is kept for targets that take next to nothing, as only an answer
-#: can show that their limit has changed.
-_LEAST_RATE_PER_S = 0.1
-#: Seconds for which a limit is remembered once it is over, or its target is known no more.
-_FORGET_S = 60.0
+#: Size of a bucket: seconds of the limit's rate, and tokens beyond that. Owners that each hold only
+#: a part of the shares need more than one of these to hold a whole token.
+_BURST_S = 0.5
+_EXTRA_BURST_TOKENS = 4.0
+#: Minimum rate in requests a second, since only an answer can show that a limit has changed.
+_MIN_RATE_PER_S = 0.1
+#: Seconds for which a limit is kept after its end, or after its target was last known.
+_RETENTION_S = 60.0
 
 
 class ReportedLimit(msgspec.Struct, frozen=True, array_like=True):
-    """What one lifetime of a target last said of its limit."""
+    """The limit that one lifetime of a target last reported."""
 
     target_id: TargetId
-    #: Start of the lifetime in milliseconds of the Unix epoch, 0 if the target does not tell it.
+    #: Start of the lifetime in milliseconds since the Unix epoch, 0 if unknown.
     born: int
     revision: int
-    #: Requests a second from all entries together; ``None`` once the target names none any more.
+    #: Requests a second from all entries together; ``None`` once the target reports no limit.
     rate_per_s: t.Optional[float]
 
     def supersedes(self, other: "ReportedLimit") -> bool:
-        """Whether this is the later word, or the stricter one of two that came at a time."""
+        """Whether this is the later report, or the stricter one of two with the same revision."""
         order, others = (self.born, self.revision), (other.born, other.revision)
         if order != others:
             return order > others
@@ -55,40 +54,40 @@
 
 
 class _Record:
-    """One limit as this entry knows it, and whether requests wait for tokens of it."""
+    """One limit as this entry knows it, and when its tokens are available again."""
 
     __slots__ = ("changed_at", "exhausted_until", "limit", "reserved_until", "seen_at")
 
     def __init__(self, limit: ReportedLimit, now: float) -> None:
         self.limit = limit
-        #: When this entry learnt of it, and when its target was last among those that there are.
+        #: Monotonic times at which this entry learnt of it, and at which its target was last known.
         self.changed_at = now
         self.seen_at = now
-        #: Until when there is no token, and none for objects that the target does not know.
+        #: Until when there is no token at all, and none for objects that the target has not cached.
         self.exhausted_until = -float("inf")
         self.reserved_until = -float("inf")
 
 
 class TargetLimits:
-    """The limits of all targets that named one, by target.
+    """Replicated limits by target.
 
-    :param clock: tells the time.
+    :param clock: time source.
     """
 
     def __init__(self, clock: "Clock") -> None:
         self._clock = clock
         self._by_target: t.Dict[TargetId, _Record] = {}
-        #: Limits that are in force, of targets that there are.
+        #: Known targets with a limit in force.
         self._in_force: t.Set[TargetId] = set()
-        #: Kept until something changes; it is asked for many times a second.
-        self._sum: t.Optional[int] = None
-        #: Rises whenever other limits are in force.
+        #: Cached until a change, since it is read many times a second.
+        self._checksum: t.Optional[int] = None
+        #: Incremented whenever the set of limits in force changes.
         self.generation = 0
-        #: Called when there is something to tell the others: at once, or when there is room.
+        #: Called when there are updates for others; the argument is whether they are urgent.
         self.on_update: t.Callable[[bool], None] = lambda at_once: None
 
     def rate_of(self, target: "Target") -> t.Optional[float]:
-        """Requests a second that a target takes from all entries together, if it says so."""
+        """Limit of a target in requests a second from all entries, ``None`` if it has none."""
         record = self._by_target.get(target.target_id)
         if record is None or record.limit.born != (target.born or 0):
             return None
@@ -102,13 +101,13 @@
         return token_bucket_for(record.limit.rate_per_s)
 
     def in_force(self) -> t.Collection[TargetId]:
-        """Targets that have a limit."""
+        """Targets with a limit in force."""
         return self._in_force
 
     def mark_exhausted(self, target: "Target", seconds: float, known: bool = True) -> None:
-        """Note that the limit has no token for some time, or until it changes.
+        """Records that a limit has no token for some time, or until it changes.
 
-        :param known: whether there is none even for objects that the target knows.
+        :param known: whether there is none even for objects that the target has cached.
         """
         record = self._by_target.get(target.target_id)
         if record is None:
@@ -119,9 +118,9 @@
             record.exhausted_until = until
 
     def wait_s(self, target: "Target", known: bool = True) -> float:
-        """Seconds until a token of a target's limit should be there; 0 if it needs none.
+        """Seconds until a token of a target's limit should be available; 0 if none is needed.
 
-        :param known: whether the target knows the object that the token is for.
+        :param known: whether the target has cached the object of the request.
         """
         if target.target_id not in self._in_force or self.rate_of(target) is None:
             return 0.0
@@ -132,12 +131,12 @@
     def record_answer(
         self, target: "Target", rate_per_s: t.Optional[float], sent_at: float
     ) -> None:
-        """Take in what an answer of a target says.
+        """Updates the limit of a target from an answer.
 
-        A limit that is higher, or taken back, counts only if the request was sent after this
-        entry learnt of the one that holds: until then, answers from before may still arrive.
+        A limit that is raised or withdrawn counts only if the request was sent after this entry
+        learnt of the current one: until then, answers from before that change may still arrive.
 
-        :param rate_per_s: limit that the answer names, if any.
+        :param rate_per_s: limit that the answer reports, if any.
         :param sent_at: monotonic time at which the request was sent.
         """
         record = self._by_target.get(target.target_id)
@@ -154,43 +153,43 @@
         if rate_per_s == previous:
             return
         limit = ReportedLimit(target.target_id, born, revision + 1, rate_per_s)
-        self._set(limit)
-        self._log([limit], "own", service=target.service, previous=_text(previous))
+        self._store(limit)
+        self._log([limit], "own", service=target.service, previous=_rate_text(previous))
         self.on_update(False)
 
     def merge(self, limits: t.Iterable[ReportedLimit]) -> None:
-        """Take in what another entry knows."""
+        """Merges limits that another entry sent."""
         changed = []
         for limit in limits:
             record = self._by_target.get(limit.target_id)
             if record is None or limit.supersedes(record.limit):
-                self._set(limit)
+                self._store(limit)
                 changed.append(limit)
         self._log(changed, "told")
 
     def recent_updates(self) -> t.Tuple[ReportedLimit, ...]:
-        """What is news still, the latest first."""
+        """Limits that are still gossiped, the latest first."""
         if not self._by_target:
             return ()
         since = self._clock.monotonic() - defaults.GOSSIP_UPDATE_TTL_S
-        news = [one for one in self._by_target.values() if one.changed_at > since]
-        news.sort(key=lambda one: one.changed_at, reverse=True)
-        return tuple([one.limit for one in news[: defaults.MAX_GOSSIP_LIMITS]])
+        recent = [one for one in self._by_target.values() if one.changed_at > since]
+        recent.sort(key=lambda one: one.changed_at, reverse=True)
+        return tuple([one.limit for one in recent[: defaults.MAX_GOSSIP_LIMITS]])
 
     def snapshot(self) -> t.Tuple[ReportedLimit, ...]:
-        """All that is known."""
+        """All known limits."""
         return tuple([one.limit for one in self._by_target.values()])
 
     def checksum(self) -> int:
-        """A number that two entries share if they agree on the limits in force."""
-        if self._sum is None:
-            self._sum = 0
+        """Checksum that is equal at entries with the same limits in force."""
+        if self._checksum is None:
+            self._checksum = 0
             for target_id in self._in_force:
-                self._sum ^= self._by_target[target_id].limit.digest()
-        return self._sum
+                self._checksum ^= self._by_target[target_id].limit.digest()
+        return self._checksum
 
     def tick(self, targets: "t.Mapping[TargetId, TargetState]") -> None:
-        """Compare the limits with the targets that there are, and forget those long without one."""
+        """Refreshes the limits by the known targets, and drops expired ones."""
         if not self._by_target:
             return
         now = self._clock.monotonic()
@@ -199,11 +198,11 @@
             if state is not None and (state.target.born or 0) == record.limit.born:
                 record.seen_at = now
             ended = record.limit.rate_per_s is None
-            if now - (record.changed_at if ended else record.seen_at) >= _FORGET_S:
+            if now - (record.changed_at if ended else record.seen_at) >= _RETENTION_S:
                 del self._by_target[target_id]
         self._index(now)
 
-    def _set(self, limit: ReportedLimit) -> None:
+    def _store(self, limit: ReportedLimit) -> None:
         now = self._clock.monotonic()
         self._by_target[limit.target_id] = _Record(limit, now)
         self._index(now)
@@ -211,11 +210,11 @@
     def _index(self, now: float) -> None:
         in_force = set()
         for target_id, record in self._by_target.items():
-            # A limit may be heard of before its target is.
+            # Gossip may deliver a limit before its target is known.
             present = now - record.seen_at < defaults.GOSSIP_UPDATE_TTL_S
             if present and record.limit.rate_per_s is not None:
                 in_force.add(target_id)
-        self._sum = None
+        self._checksum = None
         if in_force != self._in_force:
             self._in_force = in_force
             self.generation += 1
@@ -229,7 +228,7 @@
             log.info(
                 "target.limit",
                 target=limit.target_id,
-                rate_per_s=_text(limit.rate_per_s),
+                rate_per_s=_rate_text(limit.rate_per_s),
                 revision=limit.revision,
                 evidence=evidence,
                 **fields,
@@ -237,25 +236,25 @@
 
 
 def target_limit_key(target_id: TargetId, region: "t.Optional[RegionId]") -> LimitKey:
-    """Names the limit of a target; entries of all regions need tokens of one owner, near to it."""
+    """Key of the limit of a target, whose tokens all entries get from one owner in its region."""
     return LimitKey(LimitKind.TARGET, target_id, region)
 
 
 def token_bucket_for(rate_per_s: float) -> Limit:
     """The token bucket that all entries share for a target.
 
-    It allows what the target takes for any longer time, and little more in a short one.
+    Over a longer time it grants the rate that the target accepts, and little more in a short one.
     """
-    rate_per_s = max(rate_per_s, _LEAST_RATE_PER_S)
-    return Limit(rate_per_s, _SAVED_TOKENS + rate_per_s * _SAVED_S)
+    rate_per_s = max(rate_per_s, _MIN_RATE_PER_S)
+    return Limit(rate_per_s, _EXTRA_BURST_TOKENS + rate_per_s * _BURST_S)
 
 
 def _is_lower(rate_per_s: t.Optional[float], other: t.Optional[float]) -> bool:
-    """Whether a limit is stricter than another; none is the least strict."""
+    """Whether a limit is stricter than another; no limit is the least strict."""
     if rate_per_s is None:
         return False
     return other is None or rate_per_s < other
 
 
-def _text(rate_per_s: t.Optional[float]) -> str:
+def _rate_text(rate_per_s: t.Optional[float]) -> str:
     return "none" if rate_per_s is None else f"{rate_per_s:g}"
--- a/src/coralfall/placement/target_reports.py
+++ b/src/coralfall/placement/target_reports.py
@@ -1,8 +1,8 @@
-"""Target reports: what targets say of themselves in their answers, kept for each lifetime.
+"""Target reports: what targets report about themselves in their answers, kept by lifetime.
 
-An answer may report a load, a limit, that its target leaves, and a cooldown. They are kept by
-lifetime and not by row, so a row that is stale, or that vanishes and returns, changes nothing of
-them, and a new lifetime under an id or at an address starts with none.
+An answer may report a load, a rate limit, the departure of its target, and a cooldown. Reports are
+kept by lifetime and not by row, so a row that is stale, or that vanishes and returns, does not
+affect them, and a new lifetime under the same id or address starts with none.
 """
 
 import typing as t
@@ -21,42 +21,42 @@
 
 
 class TargetReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What one answer says of its target."""
+    """What one answer reports about its target."""
 
-    #: Running and waiting requests.
+    #: Numbers of running and of queued requests.
     load: t.Optional[t.Tuple[int, int]] = None
-    #: Requests a second that the target takes from all entries together.
+    #: Requests a second that the target accepts from all entries together.
     limit_per_s: t.Optional[float] = None
-    #: Whether the answer shows that there is no limit.
+    #: Whether the answer shows that the target has no limit.
     unlimited: bool = False
-    #: Whether the target leaves: its lifetime ends soon, and nothing takes that back.
+    #: Whether the target is leaving: its lifetime ends soon, which is final.
     leaving: bool = False
-    #: Seconds for which the target wants no request from this entry.
+    #: Seconds for which the target accepts no requests from this entry.
     cooldown_s: t.Optional[float] = None
 
     def restrictions(self) -> "TargetReport":
-        """What binds at whatever moment the answer was given."""
+        """The part of the report that applies no matter when the answer was given."""
         return TargetReport(leaving=self.leaving, cooldown_s=self.cooldown_s)
 
 
 class TargetReports:
-    """What all targets reported.
+    """Reports of all targets.
 
-    :param clock: tells the time.
+    :param clock: time source.
     """
 
     def __init__(self, clock: "Clock") -> None:
-        #: Limits that targets named.
+        #: Rate limits.
         self.limits = TargetLimits(clock)
-        #: Lifetimes that leave.
+        #: Lifetimes that are leaving.
         self.departures = Departures(clock)
-        #: Times for which targets want no request from this entry.
+        #: Times for which targets accept no requests from this entry.
         self.cooldowns = Cooldowns(clock)
 
     def record(self, state: "TargetState", report: TargetReport, sent_at: float) -> None:
-        """Takes in what an answer says.
+        """Records the report of an answer.
 
-        :param sent_at: monotonic time at which its request was sent.
+        :param sent_at: monotonic time at which the request was sent.
         """
         target = state.target
         if report.load is not None:
@@ -69,13 +69,13 @@
             self.cooldowns.record(target, report.cooldown_s)
 
     def restriction_of(self, target: "Target") -> str:
-        """Why a target wants no request by its own word, for logs; empty if it takes some."""
+        """Why a target accepts no requests by its own reports, for logs; empty if it does."""
         if self.departures.includes(target):
             return "leaving"
         return "cooldown" if self.cooldowns.remaining_s(target) else ""
 
     def tick(self, targets: "t.Mapping[TargetId, TargetState]") -> None:
-        """Compares the reports with the targets that there are, and forgets old ones."""
+        """Updates the reports by the known targets, and drops expired ones."""
         self.limits.tick(targets)
         self.departures.tick(targets)
         self.cooldowns.tick()
--- a/src/coralfall/placement/targets.py
+++ b/src/coralfall/placement/targets.py
@@ -1,4 +1,7 @@
-"""Targets: what an entry knows of each one, from the platform's rows and from its own requests."""
+"""Targets: what an entry knows of each target, from the platform's rows and its own requests.
+
+Passive health checking: consecutive failures eject a target for a time that grows exponentially.
+"""
 
 import collections
 import typing as t
@@ -15,28 +18,28 @@
     from ..traffic.model import Target
 
 
-#: Why a request that was about to be sent is not: its target is in use no more, or wants none.
+#: Reasons not to send a request: its target is not in use any more, or is in a cooldown.
 WITHDRAWN = "withdrawn"
 COOLDOWN = "cooldown"
-#: Names of states that targets are counted by.
+#: States by which targets are counted.
 _STATES = ("usable", "resting", COOLDOWN, "cold", "leaving", "evacuated", "gone")
-#: Seconds for which a target is thought to know an object, and how many objects of each are kept.
-_KNOWN_S = 20.0
+#: Seconds for which a target is assumed to cache an object, and most objects tracked of each.
+_CACHED_S = 20.0
 _MAX_OBJECTS = 128
-#: Seconds for which an answer says that a target serves some of its requests.
-_SERVES_S = 1.0
-#: Rests in a row without a connection from which on a target counts as one that went down: one
-#: lost packet can cost a connection, and a first rest, too.
-_DOUBTED_RESTS = 2
+#: Seconds after an answer for which a target counts as serving requests.
+_SERVING_S = 1.0
+#: Consecutive ejections without a connection after which a target counts as down: a single lost
+#: packet can make a connection fail, and so cause a first ejection.
+_DOWN_EJECTIONS = 2
 
 
 class TargetState:
-    """One lifetime of a target, and how it has done.
+    """One lifetime of a target with its load, health and cached objects.
 
-    :param target: its row.
-    :param clock: tells the time.
-    :param row_delay_s: seconds from a target's start until its row is known to tell of it.
-    :param reports: what targets say of themselves.
+    :param target: row of the target.
+    :param clock: time source.
+    :param row_delay_s: longest time in seconds from the start of a target until its row is known.
+    :param reports: reports of the targets about themselves.
     """
 
     def __init__(
@@ -46,135 +49,138 @@
         self._clock = clock
         self._row_delay_s = row_delay_s
         self._reports = reports
-        #: When each request of this entry that it has in hand was begun and when it is overdue.
-        self._begun: t.Dict[int, t.Tuple[float, float]] = {}
-        self._begun_count = 0
+        #: When each request of this entry in flight was started and when it is overdue, by number.
+        self._started: t.Dict[int, t.Tuple[float, float]] = {}
+        self._start_count = 0
         self._answered_at = -float("inf")
-        #: When this entry last sent a request of each object, the object longest unsent first.
+        #: When this entry last sent a request of each object, the least recent first.
         self._sent_by_object: "collections.OrderedDict[bytes, float]" = collections.OrderedDict()
         self.cold_limiter = SlidingWindowLimiter()
-        #: Of requests for objects that it knew, without a queue.
+        #: Latencies of requests for cached objects without a queue.
         self.latencies = LatencySamples()
         self.cold_until = 0.0
-        #: Whether its own address says that this lifetime is over.
+        #: Whether this lifetime is over.
         self.has_ended = False
-        self._reported = 0
+        self._reported_load = 0
         self._reported_at = -float("inf")
         self._failures = 0
-        self._rests = 0
-        self._rests_until = -float("inf")
+        self._ejections = 0
+        self._ejected_until = -float("inf")
 
     @property
     def leaving(self) -> bool:
-        """Whether its lifetime ends soon, by its row or by its own word."""
+        """Whether its lifetime ends soon, by its row or by its own report."""
         return self.target.leaving or self._reports.departures.includes(self.target)
 
     def cooldown_s(self) -> float:
-        """Seconds until it takes requests from this entry again; 0 if it does now."""
+        """Seconds until it accepts requests from this entry again; 0 if it does now."""
         return self._reports.cooldowns.remaining_s(self.target)
 
     @property
     def in_flight(self) -> int:
-        """Requests of this entry that it has in hand."""
-        return len(self._begun)
+        """Number of requests of this entry that are in flight."""
+        return len(self._started)
 
-    def start_request(self, overdue_s: float) -> int:
-        """Note that it gets a request; the number that :meth:`end` wants.
+    def start_request(self, overdue_after_s: float) -> int:
+        """Records the start of a request, and returns its number for :meth:`end_request`.
 
-        :param overdue_s: seconds after which it should have been answered.
+        :param overdue_after_s: seconds after which the answer is overdue.
         """
         now = self._clock.monotonic()
-        self._begun_count += 1
-        self._begun[self._begun_count] = (now, now + overdue_s)
-        return self._begun_count
+        self._start_count += 1
+        self._started[self._start_count] = (now, now + overdue_after_s)
+        return self._start_count
 
     def end_request(self, number: int) -> None:
-        """Note that a request is over, however it ended."""
-        self._begun.pop(number, None)
+        """Records the end of a request, whatever its outcome."""
+        self._started.pop(number, None)
 
     def has_cached(self, key: bytes) -> bool:
-        """Whether this entry sent it a request of this object lately, so that it is fast."""
+        """Whether this entry recently sent it a request of this object, so that it is fast."""
         sent_at = self._sent_by_object.get(key)
-        return sent_at is not None and self._clock.monotonic() - sent_at < _KNOWN_S
+        return sent_at is not None and self._clock.monotonic() - sent_at < _CACHED_S
 
     def record_object(self, key: bytes) -> None:
-        """Note that a request of this object is sent to it."""
+        """Records that a request of this object is sent."""
         self._sent_by_object[key] = self._clock.monotonic()
         self._sent_by_object.move_to_end(key)
         if len(self._sent_by_object) > _MAX_OBJECTS:
             self._sent_by_object.popitem(last=False)
 
     def forget_object(self, key: bytes) -> None:
-        """Note that a request of this object was not sent to it after all."""
+        """Records that a request of this object was not sent after all."""
         self._sent_by_object.pop(key, None)
 
     def is_unresponsive(self) -> bool:
-        """Whether a request is overdue and none was answered since it began."""
+        """Whether a request is overdue and none was answered since its start."""
         now = self._clock.monotonic()
-        for began, overdue_at in self._begun.values():
-            if began > self._answered_at and now > overdue_at:
+        for started, overdue_at in self._started.values():
+            if started > self._answered_at and now > overdue_at:
                 return True
         return False
 
     def load(self) -> float:
-        """Requests that it has in hand, of all entries, as far as known here.
+        """Estimated number of running and queued requests of all entries.
 
-        Its own last word counts for less the older it is.
+        The load that the target last reported decays exponentially with its age.
         """
-        age = self._clock.monotonic() - self._reported_at
-        reported = self._reported * 0.5 ** (age / defaults.LOAD_HALF_LIFE_S)
-        return float(max(self.in_flight, reported))
+        age_s = self._clock.monotonic() - self._reported_at
+        reported_load = self._reported_load * 0.5 ** (age_s / defaults.LOAD_HALF_LIFE_S)
+        return float(max(self.in_flight, reported_load))
 
     def has_room(self) -> bool:
-        """Whether a slot is free, as far as known here."""
+        """Whether a slot is free by the estimated load."""
         return self.load() < self.target.slots
 
     def sheds_at_random(self) -> bool:
-        """Whether it turns requests away without a shortage, while it serves others."""
-        answered = self._clock.monotonic() - self._answered_at < _SERVES_S
+        """Whether it rejects requests at random: it has free slots and serves other requests."""
+        answered = self._clock.monotonic() - self._answered_at < _SERVING_S
         return answered and self.has_room() and not self.cooldown_s()
 
     def accepts_requests(self) -> bool:
-        """Whether a request may be sent to it now, however unwell it seems."""
+        """Whether a request may be sent to it now, whatever its health."""
         return not self.has_ended and not self.cooldown_s()
 
     def is_usable(self) -> bool:
-        """Whether a request should be sent to it now, as far as its health goes."""
-        return self.accepts_requests() and self._clock.monotonic() >= self._rests_until
+        """Whether it accepts requests and is not ejected."""
+        return self.accepts_requests() and self._clock.monotonic() >= self._ejected_until
 
     def is_cold(self) -> bool:
-        """Whether it bears only a few requests a second."""
+        """Whether it is warming up and can serve only a few requests a second."""
         return self._clock.monotonic() < self.cold_until
 
     def record_load(self, running: int, waiting: int) -> None:
-        """Take in its own word on its load."""
-        self._reported = running + waiting
+        """Records the load that it reports."""
+        self._reported_load = running + waiting
         self._reported_at = self._clock.monotonic()
 
     def record_success(self) -> None:
-        """Note an answer."""
+        """Records an answer, which ends a series of failures."""
         self._answered_at = self._clock.monotonic()
         self._failures = 0
-        self._rests = 0
+        self._ejections = 0
 
     def record_failure(
         self, reached: bool, silent_since: t.Optional[float] = None, refused: bool = False
     ) -> None:
-        """Note a failure; it rests after some in a row, or at once if it gives no sign of life.
+        """Records a failure.
+
+        The target is ejected after several consecutive failures, or at once if it could not be
+        reached or has been silent.
 
         :param reached: whether a connection was open.
         :param refused: whether nothing listens at its address.
-        :param silent_since: when the request began, if its time was over without an answer.
+        :param silent_since: start of the request, if it timed out without an answer.
         """
         self._failures += 1
-        if refused or (not reached and self._rests >= _DOUBTED_RESTS):
-            self._doubt()
+        if refused or (not reached and self._ejections >= _DOWN_EJECTIONS):
+            self._treat_as_restarted()
         silent = silent_since is not None and silent_since > self._answered_at
         if reached and not silent and self._failures < defaults.EJECTION_FAILURES:
             return
-        seconds = min(defaults.EJECTION_S * 2.0**self._rests, defaults.MAX_EJECTION_S)
-        self._rests += 1
-        self._rests_until = self._clock.monotonic() + seconds
+        seconds = min(defaults.EJECTION_S * 2.0**self._ejections, defaults.MAX_EJECTION_S)
+        self._ejections += 1
+        self._ejected_until = self._clock.monotonic() + seconds
         log.info(
             "target.resting",
             target=self.target.target_id,
@@ -184,41 +190,41 @@
             seconds=seconds,
         )
 
-    def _doubt(self) -> None:
-        """Hold it cold until its row would tell of a new lifetime: its process is down.
+    def _treat_as_restarted(self) -> None:
+        """Treats it as cold until its row would show a new lifetime, since its process is down.
 
-        It may start anew under its id, cold, and then bears a few requests a second; entries that
-        find it back before they read its row would send it all that is its own.
+        It may restart cold under the same id, and then can serve only a few requests a second;
+        entries that reach it again before they read its new row would send it its full load.
         """
         until = self._clock.monotonic() + self._row_delay_s
         self.cold_until = max(self.cold_until, until)
 
 
 class TargetRegistry:
-    """All targets, by id and by service.
+    """All known targets by id and by service.
 
-    :param clock: tells the time.
-    :param row_delay_s: seconds from a target's start until its row is known to tell of it.
+    :param clock: time source.
+    :param row_delay_s: longest time in seconds from the start of a target until its row is known.
     """
 
     def __init__(self, clock: "Clock", row_delay_s: float = 0.0) -> None:
         self._clock = clock
         self._row_delay_s = row_delay_s
-        #: Called with the row of a lifetime that is over, as another has begun under its id.
+        #: Called with the last row of a lifetime when another one has begun under the same id.
         self.on_restart: "t.Callable[[Target], None]" = lambda target: None
-        #: What the targets say of themselves.
+        #: Reports of the targets about themselves.
         self.reports = TargetReports(clock)
         self.reports.departures.on_change = self._index
         self.by_id: t.Dict["TargetId", TargetState] = {}
         self._by_service: t.Dict["ServiceId", t.List[TargetState]] = {}
         self._evacuated: t.FrozenSet["ZoneId"] = frozenset()
-        #: Rises whenever the targets that may be used change.
+        #: Incremented whenever the set of usable lifetimes changes.
         self.generation = 0
-        #: Seconds for which targets of a zone are held cold once its evacuation is over.
+        #: Seconds for which targets of a zone are treated as cold after its evacuation ends.
         self.warmup_s_by_service: t.Mapping["ServiceId", float] = {}
 
     def update(self, targets: "t.Mapping[TargetId, Target]") -> None:
-        """Take in all targets as they are known now."""
+        """Replaces the known targets."""
         for target_id in list(self.by_id):
             if target_id not in targets:
                 del self.by_id[target_id]
@@ -228,7 +234,7 @@
         self._index()
 
     def _update_one(self, target: "Target") -> bool:
-        """Take in a target; whether it was not known before."""
+        """Adds or updates a target, and returns whether its id is new."""
         state = self.by_id.get(target.target_id)
         added = state is None
         if state is not None and not target.is_same_lifetime(state.target):
@@ -249,12 +255,12 @@
                 )
             state.target = target
         if target.cold_s > 0:
-            # Counted from now and not from when it was so, since its row may be older still.
+            # Counted from now, since the age of the row is unknown.
             state.cold_until = max(state.cold_until, self._clock.monotonic() + target.cold_s)
         return added
 
     def _end_lifetime(self, state: TargetState, target: "Target") -> None:
-        """Believe nothing of a lifetime that is over."""
+        """Ends a lifetime whose id is used by a new one."""
         log.info(
             "target.restarted",
             target=target.target_id,
@@ -267,7 +273,7 @@
         self.on_restart(state.target)
 
     def evacuate(self, zones: "t.FrozenSet[ZoneId]") -> None:
-        """Use no targets in these zones; those of zones that are given back are held cold."""
+        """Sets the evacuated zones; targets of zones that are in use again are treated as cold."""
         returned = self._evacuated - zones
         if zones != self._evacuated:
             log.info("zones.evacuated", zones=",".join(sorted(zones)) or "none")
@@ -276,34 +282,34 @@
         for state in self.by_id.values():
             if state.target.zone not in returned:
                 continue
-            warmup = self.warmup_s_by_service.get(state.target.service, 0.0)
-            state.cold_until = max(state.cold_until, now + warmup + 1.0)
+            warmup_s = self.warmup_s_by_service.get(state.target.service, 0.0)
+            state.cold_until = max(state.cold_until, now + warmup_s + 1.0)
         self._index()
 
     def may_use(self, state: TargetState) -> bool:
-        """Whether a target counts among those in use: it is there, it stays, its zone is used."""
+        """Whether a target is in use: known, not leaving, and not in an evacuated zone."""
         if state.leaving or state.target.zone in self._evacuated or state.has_ended:
             return False
         return self.by_id.get(state.target.target_id) is state
 
     def block_reason(self, state: TargetState) -> t.Optional[str]:
-        """The last check before a request is sent: why it may not be, in a word."""
+        """Last check before a request is sent: the reason not to send it, if any."""
         if not self.may_use(state):
             return WITHDRAWN
         return COOLDOWN if state.cooldown_s() else None
 
     def of_service(self, service: "ServiceId") -> t.Sequence[TargetState]:
-        """Targets of a service that may be used."""
+        """Targets of a service that are in use."""
         return self._by_service.get(service, ())
 
     def count_by_state(self) -> t.Dict[str, int]:
-        """How many targets are in each state."""
+        """Number of targets in each state."""
         counts = dict.fromkeys(_STATES, 0)
         for state in self.by_id.values():
-            counts[self._name_of(state)] += 1
+            counts[self._state_name(state)] += 1
         return counts
 
-    def _name_of(self, state: TargetState) -> str:
+    def _state_name(self, state: TargetState) -> str:
         if state.has_ended:
             return "gone"
         if state.leaving:
@@ -317,7 +323,7 @@
         return "cold" if state.is_cold() else "usable"
 
     def mark_replaced(self, state: TargetState) -> None:
-        """Use a target no more: something else answers at its address."""
+        """Ends a lifetime because another server answers at its address."""
         if state.has_ended:
             return
         state.has_ended = True
@@ -335,7 +341,7 @@
 
 
 def _log_added(added: "t.Sequence[Target]") -> None:
-    """One line for each; when there are many, as at the start, one for many of a service."""
+    """Logs added targets: one line each, or one for many of a service if there are many."""
     if len(added) > log.SINGLE_LINES:
         ids_by_service: t.Dict["ServiceId", t.List[str]] = {}
         for target in added:
--- a/src/coralfall/placement/tenant_limits.py
+++ b/src/coralfall/placement/tenant_limits.py
@@ -1,4 +1,4 @@
-"""Quotas: the token bucket of a tenant's limit."""
+"""Tenant limits: the token bucket parameters of a tenant's rate limit."""
 
 import typing as t
 
@@ -9,31 +9,31 @@
     from ..traffic.model import Tenant
     from ..traffic.settings import BoundSettings
 
-#: Part of what the users allow beyond a limit that is used. The rest is for requests that reach
+#: Fraction of the allowed excess over a limit that is used. The rest is for requests that reach
 #: their targets closer together than they were granted.
-_EXCESS_USED = 0.75
-#: Tokens on top of a burst that buckets hold together, if the users allow as much: parts of a
-#: bucket that hold less than one token are good for nothing.
-_SPLIT_TOKENS = 3.0
+_USED_EXCESS_FRACTION = 0.75
+#: Tokens beyond the burst that the buckets hold together, as far as the allowed excess permits: a
+#: part of a bucket that holds less than one token can't grant any request.
+_EXTRA_BURST_TOKENS = 3.0
 
 
 def tenant_limit_key(tenant_id: "TenantId") -> LimitKey:
-    """Names the limit of a tenant."""
+    """Key of the limit of a tenant."""
     return LimitKey(LimitKind.TENANT, tenant_id)
 
 
 def limit_of(tenant: "Tenant", bounds: "BoundSettings") -> Limit:
-    """The limit of a tenant.
+    """Token bucket of a tenant.
 
-    In a window there may be (rate x window + burst) x (1 + overage) + slack requests. What full
-    buckets let go at once is a part of it, and the rest comes over the window.
+    A window may contain (rate x window + burst) x (1 + overage) + slack requests. A full bucket
+    grants a part of them at once, and the rest over the window.
     """
     if not tenant.rate_per_s:
         return UNLIMITED
     window_s = max(bounds.quota_window_s, 1.0)
-    asked = tenant.rate_per_s * window_s
-    excess = (asked + tenant.burst) * bounds.quota_overage + bounds.quota_slack
-    most = asked + tenant.burst + excess * _EXCESS_USED
+    nominal = tenant.rate_per_s * window_s
+    excess = (nominal + tenant.burst) * bounds.quota_overage + bounds.quota_slack
+    max_requests = nominal + tenant.burst + excess * _USED_EXCESS_FRACTION
     burst = max(1.0, tenant.burst)
-    burst += min(_SPLIT_TOKENS, max(0.0, most - asked - burst))
-    return Limit((most - burst) / window_s, burst)
+    burst += min(_EXTRA_BURST_TOKENS, max(0.0, max_requests - nominal - burst))
+    return Limit((max_requests - burst) / window_s, burst)
--- a/src/coralfall/placement/weighted_split.py
+++ b/src/coralfall/placement/weighted_split.py
@@ -1,4 +1,4 @@
-"""Split: deals a route's requests to its backends in the proportions of their weights."""
+"""Weighted split: distributes the requests of a route over its backends by their weights."""
 
 import random
 import typing as t
@@ -7,37 +7,37 @@
     from ..ids import ServiceId
     from ..traffic.model import Backend, Route, RouteId
 
-#: Fractional part of the golden ratio: its multiples fill the unit interval most evenly.
-_STEP = 0.6180339887498949
+#: Fractional part of the golden ratio, whose multiples fill the unit interval most evenly.
+_GOLDEN_STEP = 0.6180339887498949
 
 
 class WeightedSplit:
-    """Deals by a sequence of low discrepancy, so that few requests already keep the shares.
+    """Selects backends by a low-discrepancy sequence, so that few requests match the weights.
 
-    Each entry starts somewhere else in it, so that entries do not deal in step.
+    Each entry starts at a random point of the sequence, so that entries do not select in step.
 
-    :param rng: where to start.
+    :param rng: draws the starting points.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._place_by_route: t.Dict["RouteId", float] = {}
+        self._position_by_route: t.Dict["RouteId", float] = {}
 
     def choose(self, route: "Route") -> "ServiceId":
-        """The service of the route's next request."""
+        """Service of the next request of a route."""
         backends = route.backends
         if len(backends) == 1:
             return backends[0].service
-        place = self._place_by_route.get(route.route_id)
-        if place is None:
-            place = self._rng.random()
-        place = (place + _STEP) % 1.0
-        self._place_by_route[route.route_id] = place
-        return _at(backends, place)
+        position = self._position_by_route.get(route.route_id)
+        if position is None:
+            position = self._rng.random()
+        position = (position + _GOLDEN_STEP) % 1.0
+        self._position_by_route[route.route_id] = position
+        return _backend_at(backends, position)
 
 
-def _at(backends: "t.Sequence[Backend]", place: float) -> "ServiceId":
-    left = place * sum(backend.weight for backend in backends)
+def _backend_at(backends: "t.Sequence[Backend]", position: float) -> "ServiceId":
+    left = position * sum(backend.weight for backend in backends)
     for backend in backends:
         left -= backend.weight
         if left < 0:
--- a/tests/traffic/limit_fleet.py
+++ b/tests/traffic/limit_fleet.py
@@ -1,7 +1,7 @@
-"""Entries that keep a target's limit together, on virtual time.
+"""Simulates entries that share the rate limit of a target, on virtual time.
 
-The network, the gossip, and who an entry thinks is there, are played; what entries decide is the
-product's. The target answers all that it gets, and judges it by the users' rule.
+Network, gossip and membership are simulated; the entries run the real decision code. The target
+answers all requests, and the arrivals are checked against the allowed number in any window.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 from tests.traffic.makers import NORTE, make_settings, make_target, make_tenant
 from tests.traffic.quota_fleet import REGIONS, QuotaEntry, QuotaFleet, most_in_window
 
-#: By the users' rule: seconds until a limit binds, seconds of a window, by what factor and number
-#: the requests in it may exceed the limit, and seconds after which an entry counts as told.
+#: Seconds until a limit has to be in force, seconds of a window, factor and number by which the
+#: requests of a window may exceed the limit, and seconds after which an entry counts as informed.
 STABLE_S = 4.0
 WINDOW_S = 4.0
 FACTOR = 1.5
 SLACK = 5
 TOLD_S = 0.5
-#: Seconds until entries in touch heard what one of them pushed, and between two of their rounds.
+#: Seconds until a push has reached all connected entries, and between two rounds of gossip.
 PUSH_S = 0.15
 ROUND_S = 0.5
 _WORK_S = 0.16
@@ -30,7 +30,7 @@
 
 
 class LimitEntry(QuotaEntry):
-    """One entry, with what it knows of targets' limits."""
+    """One entry with its target limits."""
 
     def start(self) -> None:
         super().start()
@@ -44,7 +44,7 @@
             self.permits, self.limits, targets, settings, self._clock
         )
         self.permits.sources.append(self.target_permits)
-        #: When this lifetime first knew of a limit, by an answer or by another entry.
+        #: When this lifetime first knew of a limit, from an answer or from another entry.
         self.known_at = float("inf")
 
 
@@ -52,13 +52,13 @@
     """A request at the target."""
 
     at: float
-    #: When the entry that sent it had first known of a limit; later, if ever, it passed on an
-    #: answer that named it, from which on the users' rule counts its requests.
+    #: When the sending entry first knew of a limit. It can only later have passed on an answer with
+    #: the limit, from which on its requests count against the allowed number.
     known_at: float
 
 
 class LimitFleet(QuotaFleet):
-    """Entries, and one target that may name a limit."""
+    """Entries, and one target that may report a limit."""
 
     entry_type = LimitEntry
 
@@ -101,7 +101,7 @@
                 other.known_at = min(other.known_at, self.clock.monotonic())
 
     async def _ask(self, entry: QuotaEntry) -> None:
-        """Send one request, unless the target is passed over."""
+        """Sends one request, unless the target has no token."""
         sender = t.cast(LimitEntry, entry)
         incarnation = sender.incarnation
         limits = sender.limits
@@ -128,7 +128,7 @@
                 sender.known_at = min(sender.known_at, self.clock.monotonic())
 
     def counted_at(self, since: float, until: float = float("inf")) -> t.List[float]:
-        """When requests arrived that the users' rule counts, and more than it counts."""
+        """Arrival times of at least the requests that count against the allowed number."""
         return [
             one.at
             for one in self.arrivals
@@ -137,10 +137,10 @@
 
 
 def most_of(limit_per_s: float) -> float:
-    """Requests that the users allow in a window."""
+    """Requests that are allowed in a window."""
     return FACTOR * limit_per_s * WINDOW_S + SLACK
 
 
 def fullest_window(times: t.Sequence[float]) -> int:
-    """Requests in the fullest window."""
+    """Largest number of requests in a window."""
     return most_in_window(times, WINDOW_S)
--- a/tests/traffic/test_cooldowns.py
+++ b/tests/traffic/test_cooldowns.py
@@ -1,4 +1,4 @@
-"""Tests of targets that want no requests for a while, at the entry that was told so."""
+"""Tests of cooldowns that targets request of an entry (``Retry-After``)."""
 
 import asyncio
 import typing as t
@@ -19,27 +19,27 @@
 from tests.traffic.test_forwarder import Path, ok
 
 _SECONDS = 3.0
-_RESTS = TargetReport(cooldown_s=_SECONDS)
+_COOLDOWN = TargetReport(cooldown_s=_SECONDS)
 
 
 class SteeringTest(unittest.TestCase):
-    """Some targets, of which all but the last want no requests for three seconds."""
+    """Three targets, two of them in a cooldown of three seconds."""
 
     def setUp(self) -> None:
-        self.resting = [make_target(number, born=1000) for number in (1, 2)]
+        self.cooling = [make_target(number, born=1000) for number in (1, 2)]
         self.spare = make_target(3, born=1000)
-        self.steered = SteeringFixture(*self.resting, self.spare)
-        for target in self.resting:
-            self.say(target, _RESTS)
+        self.steered = SteeringFixture(*self.cooling, self.spare)
+        for target in self.cooling:
+            self.report(target, _COOLDOWN)
 
-    def say(self, target: Target, report: TargetReport) -> None:
+    def report(self, target: Target, report: TargetReport) -> None:
         self.steered.targets.reports.record(self.state_of(target), report, 0.0)
 
     def state_of(self, target: Target) -> TargetState:
         return self.steered.targets.by_id[target.target_id]
 
     def chosen(self, **options: t.Any) -> t.Set[str]:
-        """All targets that are chosen for some objects."""
+        """Ids of the targets that are chosen for some objects."""
         ids = set()
         for number in range(40):
             key = b"%d" % number
@@ -72,7 +72,7 @@
         self, _name: str, rows: t.Sequence[t.Optional[t.Dict[str, t.Any]]], used: bool
     ) -> None:
         for changes in rows:
-            row = [] if changes is None else [msgspec.structs.replace(self.resting[0], **changes)]
+            row = [] if changes is None else [msgspec.structs.replace(self.cooling[0], **changes)]
             self.steered.set_targets(self.spare, *row)
             self.steered.clock.advance(1.0)
             self.steered.targets.reports.tick(self.steered.targets.by_id)
@@ -85,7 +85,7 @@
         self.assertEqual({"t3"}, self.chosen())
 
     def test_after_a_shed_it_is_not_asked_again(self) -> None:
-        state = self.state_of(self.resting[0])
+        state = self.state_of(self.cooling[0])
         state.record_success()
         self.assertFalse(state.sheds_at_random())
 
@@ -95,7 +95,7 @@
 
     @parameterized.expand(
         [
-            # when the caller is refused, when it may come back
+            # time of the rejection, seconds until the retry
             ("at the start", 0.0, 3.0),
             ("in the middle", 1.5, 1.5 + 0.75),
             ("near the end", 2.8, 0.2 + 1.4),
@@ -104,15 +104,15 @@
     def test_if_all_cool_down_callers_return_in_order_after_the_end(
         self, _name: str, at_s: float, come_back_s: float
     ) -> None:
-        self.say(self.spare, _RESTS)
+        self.report(self.spare, _COOLDOWN)
         self.steered.clock.advance(at_s)
         refusal = self.refusal()
         self.assertEqual("cooldown", refusal.fields["reason"])
         self.assertAlmostEqual(come_back_s, refusal.retry_after)
 
-    def test_there_is_no_herd_at_the_end(self) -> None:
-        """Callers that come evenly return evenly, at twice the rate."""
-        self.say(self.spare, _RESTS)
+    def test_retries_are_spread_after_the_end(self) -> None:
+        """Guards against a thundering herd: callers that arrive evenly also retry evenly."""
+        self.report(self.spare, _COOLDOWN)
         end = self.steered.clock.now + _SECONDS
         returns = []
         for _ in range(299):
@@ -125,11 +125,11 @@
             self.assertLessEqual(count, 21)
 
     def test_the_first_end_counts(self) -> None:
-        self.say(self.spare, TargetReport(cooldown_s=1.0))
+        self.report(self.spare, TargetReport(cooldown_s=1.0))
         self.assertAlmostEqual(1.0, self.refusal().retry_after)
 
     def test_an_end_that_is_near_keeps_the_least_pause(self) -> None:
-        self.say(self.spare, TargetReport(cooldown_s=0.01))
+        self.report(self.spare, TargetReport(cooldown_s=0.01))
         self.assertAlmostEqual(defaults.STEER_RETRY_AFTER_S, self.refusal().retry_after)
 
     def test_one_that_was_tried_may_serve_the_next_attempt(self) -> None:
@@ -140,7 +140,7 @@
         )
 
     def test_a_cooldown_and_a_limit(self) -> None:
-        """The target with a limit has a token sooner than the others end their cooldown."""
+        """The target with a rate limit has a token before the cooldowns of the others end."""
         reports = self.steered.targets.reports
         reports.limits.record_answer(self.spare, 2.0, 0.0)
         reports.limits.mark_exhausted(self.spare, 0.5)
@@ -156,22 +156,22 @@
         ]
     )
     def test_when_a_caller_comes_back_that_was_rejected(
-        self, _name: str, regions: t.FrozenSet[t.Any], all_rest: bool, come_back_s: float
+        self, _name: str, regions: t.FrozenSet[t.Any], all_cooling: bool, come_back_s: float
     ) -> None:
-        state = self.state_of(self.resting[0])
-        if all_rest:
-            self.say(self.spare, _RESTS)
+        state = self.state_of(self.cooling[0])
+        if all_cooling:
+            self.report(self.spare, _COOLDOWN)
         if regions:
             far = make_target(1, born=1000, zone=PUERTO)
             self.steered.set_targets(far, self.spare)
             state = self.state_of(far)
-            self.say(far, _RESTS)
+            self.report(far, _COOLDOWN)
         found = self.steered.steering.retry_after_s(state, PEDIDOS, regions)
         self.assertAlmostEqual(come_back_s, found)
 
 
 def rejecting(seconds: str, **fields: str) -> Script:
-    """A target that turns every request away and asks for some seconds without any."""
+    """A target that rejects every request and names a cooldown."""
 
     async def script(turn: Turn) -> None:
         headers = {"x_not_executed": "1", "x_response_signature": "", **fields}
@@ -201,7 +201,7 @@
 
 
 def play(kind: str, *scripts: Script, count: int = 4) -> Seen:
-    """Forward some requests, one after the other, whose first home is the first target."""
+    """Forwards requests one after the other, whose first candidate is the first target."""
 
     async def main() -> Seen:
         targets = [RawTarget(script) for script in scripts]
@@ -226,7 +226,7 @@
 class ForwardingTest(unittest.TestCase):
     @parameterized.expand(
         [
-            # script of the first target, kind, statuses, requests at both targets
+            # script of the first target, kind of request, statuses, requests at each target
             ("proved", rejecting("3"), "unsafe", [200] * 4, [1, 4]),
             ("proved, of a read", rejecting("3"), "safe", [200] * 4, [1, 4]),
             ("a fraction", rejecting("2.5"), "unsafe", [200] * 4, [1, 4]),
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions: routes, split, budget, affinity, cold targets."""
+"""Tests of routing, weighted split, retry budget, affinity, locality and cold targets."""
 
 import collections
 import typing as t
@@ -56,7 +56,7 @@
         self.assertEqual(expected, route.route_id if route else None)
 
 
-class SplitTest(unittest.TestCase):
+class WeightedSplitTest(unittest.TestCase):
     @parameterized.expand(
         [
             ("even", (50.0, 50.0)),
@@ -81,10 +81,10 @@
         self.assertEqual({ServiceId("b")}, {split.choose(moved) for _ in range(20)})
 
 
-class SendBudgetTest(unittest.TestCase):
+class RetryBudgetTest(unittest.TestCase):
     @parameterized.expand(
         [
-            # entries, requests, second sends taken: (requests * 0.2 + 64 / entries) * 0.7
+            # entries, requests, allowed additional sends: (requests * 0.2 + 64 / entries) * 0.7
             ("alone", 1, 100, 58),
             ("of twelve", 12, 100, 17),
             ("of hundreds, share alone", 500, 100, 14),
@@ -151,7 +151,7 @@
         for key in moved:
             self.assertEqual(TargetId("t0"), before[key])
 
-    def test_homes_are_filled_in_order_and_then_the_request_is_refused(self) -> None:
+    def test_candidates_are_filled_in_order_and_then_the_request_is_rejected(self) -> None:
         steered = SteeringFixture(*[make_target(number, slots=2) for number in range(5)])
         chosen: t.List[TargetId] = []
         with self.assertRaises(RefusedError) as caught:
@@ -164,14 +164,14 @@
 
     @parameterized.expand(
         [
-            # slots of the second home that are taken, whether it knows the object, where it goes
+            # load of the second candidate, whether the object is cached there, load of the first
             ("a known object before a queue forms", 0, True, 4, "second"),
             ("an object to learn waits at home", 0, False, 4, "first"),
             ("a full home, and room to learn", 2, False, 6, "second"),
             ("a full home, and little room to learn", 3, False, 6, "first"),
         ]
     )
-    def test_a_second_home_learns_only_where_it_has_room(
+    def test_the_second_candidate_loads_objects_only_with_free_slots(
         self, _name: str, taken: int, known: bool, load: int, expected: str
     ) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
@@ -223,7 +223,7 @@
             ("full-late", 1.0), (caught.exception.fields["reason"], caught.exception.retry_after)
         )
 
-    def test_a_target_that_learns_behind_a_queue_is_not_quiet(self) -> None:
+    def test_a_target_that_loads_an_object_behind_a_queue_is_responsive(self) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
         steered.steering.admission.record_duration(PEDIDOS, 0.12)
         steered.steering.admission.record_duration(PEDIDOS, 0.5, known=False)
@@ -242,7 +242,7 @@
         held[0].release()
         self.assertEqual(TargetId("t1"), self.choose(steered, "x"))
 
-    def test_a_target_s_own_word_counts_and_fades(self) -> None:
+    def test_the_reported_load_decays(self) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
         first = steered.targets.by_id[self.choose(steered, "x")]
         first.record_load(running=4, waiting=4)
@@ -276,7 +276,7 @@
             self.assertEqual(TargetId("t2"), self.choose(steered, str(key), route=route))
 
     @parameterized.expand([("not reached", False, 1), ("broke off", True, 3)])
-    def test_a_failing_target_rests(self, _name: str, reached: bool, failures: int) -> None:
+    def test_a_failing_target_is_ejected(self, _name: str, reached: bool, failures: int) -> None:
         steered = SteeringFixture(make_target(1), make_target(2, slots=1000))
         state = steered.targets.by_id[TargetId("t1")]
         for _ in range(failures):
@@ -293,7 +293,7 @@
             ("not overdue yet", None, 0.2, False),
         ]
     )
-    def test_a_quiet_target_is_passed_over(
+    def test_an_unresponsive_target_is_skipped(
         self, _name: str, answered_s: t.Optional[float], waited_s: float, passed_over: bool
     ) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
@@ -322,7 +322,7 @@
 
     @parameterized.expand(
         [
-            # left, load at the target, whether late, what becomes of it
+            # seconds left, load of the target, whether late, reason of the rejection
             ("in time", 1.0, 0, False, None),
             ("too little time", 0.15, 0, False, "no-time"),
             ("too little time behind others", 0.3, 7, False, "no-time"),
@@ -370,13 +370,13 @@
         steered.set_targets(make_target(1, born=2))
         self.assertEqual([1], ended)
 
-    def test_if_all_rest_they_are_tried_all_the_same(self) -> None:
+    def test_if_all_are_ejected_they_are_used(self) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
         for state in steered.targets.by_id.values():
             state.record_failure(reached=False)
         self.assertIn(self.choose(steered, "x"), ("t1", "t2"))
 
-    def test_who_is_late(self) -> None:
+    def test_is_late(self) -> None:
         admission = SteeringFixture().steering.admission
         route = make_route(latency_target_s=0.3)
         for _ in range(20):
@@ -392,7 +392,7 @@
 
 
 class BoundsTest(unittest.TestCase):
-    """What the users hold the system to sets the times that follow from it."""
+    """Times that are derived from the configured bounds."""
 
     @parameterized.expand(
         [
@@ -438,8 +438,8 @@
         self.assertEqual(1.5, BoundSettings(config_s=4.0, evacuation_s=1.5).state_deadline_s())
 
 
-class SharesTest(unittest.TestCase):
-    """Where the objects of sierra's callers have their first home."""
+class LocalityTest(unittest.TestCase):
+    """Locality: where the first candidates of the objects of callers in sierra are."""
 
     def homes(self, steered: SteeringFixture, keys: int = 400) -> t.Dict[str, str]:
         found = {}
@@ -451,7 +451,7 @@
 
     @parameterized.expand(
         [
-            # targets in the callers' region and in the other one, part that stays
+            # targets in the callers' region and in the other one, fraction that stays local
             ("as many", 4, 4, 1.0),
             ("more than enough", 6, 2, 1.0),
             ("half of what it needs", 3, 17, 0.5),
@@ -465,7 +465,7 @@
         homes = self.homes(SteeringFixture(*targets))
         self.assertAlmostEqual(part, list(homes.values()).count(NORTE) / len(homes), delta=0.06)
 
-    def test_the_second_home_is_in_another_region(self) -> None:
+    def test_the_second_candidate_is_in_another_region(self) -> None:
         steered = SteeringFixture(
             *[make_target(number, slots=1) for number in range(4)],
             *[make_target(100 + number, slots=1, zone=PUERTO) for number in range(4)],
@@ -493,7 +493,7 @@
         self.assertGreater(sum(moved), 0.2)
 
 
-class ColdTest(unittest.TestCase):
+class ColdTargetsTest(unittest.TestCase):
     @hypothesis.given(
         entries=st.integers(1, 600),
         per_s=st.floats(1.0, 60.0),
@@ -503,7 +503,7 @@
     def test_all_entries_together_stay_in_bounds(
         self, entries: int, per_s: float, missing: int
     ) -> None:
-        """Also where one half of them has not heard of a few of the others."""
+        """Holds also while half of the entries do not know a few of the others."""
         names = [EntryId(f"e{number}") for number in range(entries)]
         fewer = names[: max(1, entries - missing)]
         total = 0
@@ -512,7 +512,7 @@
             total += cold_share_of(name, view, TargetId("t1"), per_s)
         self.assertLessEqual(total, per_s)
 
-    def test_some_entry_warms_it(self) -> None:
+    def test_some_entries_may_send_to_a_cold_target(self) -> None:
         names = [EntryId(f"e{number}") for number in range(530)]
         shares = [cold_share_of(name, names, TargetId("t1"), 18.5) for name in names]
         self.assertEqual(11, sum(shares))
--- a/tests/traffic/test_departures.py
+++ b/tests/traffic/test_departures.py
@@ -1,4 +1,4 @@
-"""Tests of targets that say in an answer that they leave, whatever their rows say."""
+"""Tests of targets that announce their departure in an answer, whatever their rows say."""
 
 import asyncio
 import typing as t
@@ -21,21 +21,21 @@
 _LEAVES = TargetReport(leaving=True)
 
 
-def say_leaving(steered: SteeringFixture, target: Target) -> None:
+def announce_departure(steered: SteeringFixture, target: Target) -> None:
     steered.targets.reports.record(steered.targets.by_id[target.target_id], _LEAVES, 0.0)
 
 
 class RowsTest(unittest.TestCase):
-    """A target that said that it leaves, beside another one."""
+    """A target that announced its departure, and another one."""
 
     def setUp(self) -> None:
         self.target = make_target(1, born=1000)
         self.other = make_target(2, born=1000)
         self.steered = SteeringFixture(self.target, self.other)
-        say_leaving(self.steered, self.target)
+        announce_departure(self.steered, self.target)
 
     def chosen(self) -> t.Set[str]:
-        """All targets that are chosen for some objects."""
+        """Ids of the targets that are chosen for some objects."""
         ids = set()
         for number in range(40):
             reservation = self.steered.steering.choose(make_route(), PEDIDOS, b"%d" % number, ())
@@ -70,10 +70,10 @@
         counts = self.steered.targets.count_by_state()
         self.assertEqual((1, 1), (counts["leaving"], counts["usable"]))
 
-    def test_it_is_not_waited_for_in_an_outage(self) -> None:
+    def test_its_missing_row_is_not_kept_in_an_outage(self) -> None:
         known = EntryFixture()
         known.learn_targets(1, self.target, self.other)
-        say_leaving(known.steered, self.target)
+        announce_departure(known.steered, self.target)
         known.clock.advance(20.0)
         known.learn_targets(2, self.other)
         self.assertEqual({"t2"}, set(known.steered.targets.by_id))
@@ -140,7 +140,7 @@
 
 
 class GossipTest(unittest.TestCase):
-    """Entries that tell each other, by the messages of gossip."""
+    """Entries that replicate departures by gossip messages."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
@@ -149,7 +149,7 @@
         self.fleet[0].reports.departures.record(self.target)
 
     def ask(self, asker: int, asked: int) -> None:
-        """One exchange of news, over the wire."""
+        """One exchange of encoded gossip messages."""
         question = self.fleet[asker].exchange.news()
         answer = self.fleet[asked].exchange.answer(_sent(question))
         self.fleet[asker].exchange.take(_sent(answer), self.clock.monotonic())
--- a/tests/traffic/test_quarantine.py
+++ b/tests/traffic/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of which requests are refused as targets end of them, and of how entries agree on it."""
+"""Tests of which requests are quarantined after crashes, and of how entries agree on them."""
 
 import typing as t
 import unittest
@@ -19,38 +19,40 @@
 
 
 class EarlierNews(Message, frozen=True, tag=32):
-    """The first fields of news, as a version that knows no more of them takes them."""
+    """A gossip message as an older version decodes it, which knows only its first fields."""
 
     records: t.Tuple[EntryRecord, ...]
 
 
-ANA, BEA = caller_digest("10.0.0.1"), caller_digest("10.0.0.2")
+CALLER_A, CALLER_B = caller_digest("10.0.0.1"), caller_digest("10.0.0.2")
 
 
 def named(name: str) -> Fingerprint:
-    """A request of its own for each name."""
+    """Fingerprint of a request that is identified by a name."""
     return Fingerprint(HeadDigest(sum(name.encode())), 7)
 
 
-def crash(quarantine: Quarantine, target: str, *requests: str, caller: CallerDigest = ANA) -> None:
-    """Let a target end with these requests in hand."""
+def crash(
+    quarantine: Quarantine, target: str, *requests: str, caller: CallerDigest = CALLER_A
+) -> None:
+    """Records a crash of a target with these requests in flight."""
     listed = [(named(request), caller) for request in requests]
     quarantine.record_crash(crash_digest(TargetId(target), 1), listed)
 
 
-def refused(quarantine: Quarantine, *requests: str, caller: CallerDigest = ANA) -> t.Set[str]:
+def refused(quarantine: Quarantine, *requests: str, caller: CallerDigest = CALLER_A) -> t.Set[str]:
     return {request for request in requests if quarantine.refuses(named(request), caller)}
 
 
 class FaultTest(unittest.TestCase):
     @parameterized.expand(
         [
-            # what each target had in hand as it ended, and who is at fault
+            # requests in flight at each crash, and those that are quarantined
             ("one, three times", ["x", "x", "x"], "x"),
             ("one, twice", ["x", "x"], ""),
             ("another beside it each time", ["xa", "xb", "xc"], "x"),
             ("one beside it twice", ["xa", "xa", "x"], "x"),
-            # Nobody can say yet which of them it is; two more sends tell.
+            # It can't be told yet which of them is the cause; two more sends show it.
             ("one beside it each time", ["xa", "xa", "xa"], ""),
             ("one beside it but the last time", ["xa", "xa", "xa", "x"], "x"),
             ("as long as can be borne", ["xa", "xa", "xa", "xa", "xa"], "xa"),
@@ -85,9 +87,9 @@
         quarantine = Quarantine(600.0, ManualClock(100.0))
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
-        self.assertEqual(set(), refused(quarantine, "x", caller=BEA))
-        # Once a target ends of that, too, it is the request and not its caller.
-        crash(quarantine, "t3", "x", caller=BEA)
+        self.assertEqual(set(), refused(quarantine, "x", caller=CALLER_B))
+        # Once another caller's request crashes a target, too, it is blocked for all callers.
+        crash(quarantine, "t3", "x", caller=CALLER_B)
         self.assertEqual({"x"}, refused(quarantine, "x", caller=caller_digest("10.0.0.3")))
 
     @parameterized.expand(
@@ -109,7 +111,7 @@
             self.assertEqual({"x"} if still else set(), refused(quarantine, "x"))
         self.assertEqual(not still, quarantine.is_empty)
 
-    def test_slow_ones_are_found_too(self) -> None:
+    def test_crashes_minutes_apart_count(self) -> None:
         clock = ManualClock(100.0)
         quarantine = Quarantine(600.0, clock)
         for number in range(3):
@@ -118,7 +120,7 @@
             quarantine.expire()
         self.assertEqual({"x"}, refused(quarantine, "x"))
 
-    def test_an_operator_lets_all_go(self) -> None:
+    def test_an_operator_can_release_all(self) -> None:
         quarantine = Quarantine(600.0, ManualClock(100.0))
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
@@ -129,7 +131,7 @@
         self.assertTrue(quarantine.is_empty)
 
     def test_a_trial_ends_it_if_a_target_answers(self) -> None:
-        """Targets may have ended of a storm that is over; nobody has to let the request go."""
+        """Targets may have crashed for a reason that is over; no operator has to act then."""
         clock = ManualClock(100.0)
         quarantine = Quarantine(600.0, clock)
         quarantine.runs_trial = lambda fingerprint: first
@@ -146,20 +148,20 @@
         del told[:]
         self.assertTrue(quarantine.start_trial(named("x")))
         self.assertEqual([True], told)
-        # Once and no more, and others are refused meanwhile.
+        # There is one trial only, and other attempts are rejected meanwhile.
         self.assertFalse(quarantine.start_trial(named("x")))
         self.assertEqual({"x"}, refused(quarantine, "x"))
         quarantine.record_answer(named("x"))
         self.assertEqual(set(), refused(quarantine, "x"))
 
-    def test_what_a_mass_failure_takes_along_is_bounded(self) -> None:
+    def test_the_number_of_suspects_is_bounded(self) -> None:
         quarantine = Quarantine(600.0, ManualClock(100.0))
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
         for number in range(defaults.MAX_SUSPECT_REQUESTS + 300):
             quarantine.record_crash(
                 crash_digest(TargetId(f"m{number}"), 1),
-                [(Fingerprint(HeadDigest(number + 10_000), 1), ANA)],
+                [(Fingerprint(HeadDigest(number + 10_000), 1), CALLER_A)],
             )
         quarantine.expire()
         self.assertEqual({"x"}, refused(quarantine, "x"))
@@ -168,7 +170,7 @@
 
 
 class AgreementTest(unittest.TestCase):
-    """Entries that tell each other by hand, on one clock."""
+    """Entries that exchange gossip when the test says so, on one clock."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
@@ -180,24 +182,24 @@
         return known
 
     def ask(self, one: EntryFixture, other: EntryFixture) -> None:
-        """One asks the other, as in a round of gossip."""
+        """One entry exchanges gossip with another."""
         other.exchange.take(one.exchange.news())
         one.exchange.take(other.exchange.answer(one.exchange.news()))
 
-    def know(self, *entries: EntryFixture) -> t.List[bool]:
+    def blocks(self, *entries: EntryFixture) -> t.List[bool]:
         return [bool(refused(known.quarantine, "x")) for known in entries]
 
-    def end_three(self) -> None:
-        """Each of three entries sees one target end, and tells the next."""
+    def crash_three(self) -> None:
+        """Each of three entries sees one crash, and gossips with the next entry."""
         for number in range(3):
             crash(self.fleet[number].quarantine, f"t{number}", "x")
             self.ask(self.fleet[number + 1], self.fleet[number])
 
     def test_what_each_saw_counts_together(self) -> None:
-        self.end_three()
-        self.assertEqual([False, False, True, True], self.know(*self.fleet))
+        self.crash_three()
+        self.assertEqual([False, False, True, True], self.blocks(*self.fleet))
         self.ask(self.fleet[0], self.fleet[3])
-        self.assertEqual([True], self.know(self.fleet[0]))
+        self.assertEqual([True], self.blocks(self.fleet[0]))
 
     @parameterized.expand(
         [
@@ -210,29 +212,29 @@
         self, _name: str, away_s: float, anew: bool
     ) -> None:
         away = self.fleet[0]
-        self.end_three()
-        # Longer than news are told.
+        self.crash_three()
+        # Longer than updates are gossiped.
         self.clock.advance(away_s)
         if anew:
             away = self.entry("e0")
         self.ask(away, self.fleet[3])
-        self.assertEqual([True], self.know(away))
+        self.assertEqual([True], self.blocks(away))
 
     def test_what_one_forgets_sooner_comes_back_as_old_as_it_is(self) -> None:
-        self.end_three()
+        self.crash_three()
         for known in self.fleet:
             self.ask(known, self.fleet[3])
         self.clock.advance(400.0)
-        self.assertEqual([True], self.know(self.fleet[1]))
+        self.assertEqual([True], self.blocks(self.fleet[1]))
         self.clock.advance(300.0)
         for known in self.fleet:
             known.quarantine.expire()
-        self.assertEqual([False, True, False, False], self.know(*self.fleet))
+        self.assertEqual([False, True, False, False], self.blocks(*self.fleet))
         self.ask(self.fleet[2], self.fleet[1])
-        self.assertEqual([True], self.know(self.fleet[2]))
+        self.assertEqual([True], self.blocks(self.fleet[2]))
 
-    def test_all_know_of_a_trial(self) -> None:
-        self.end_three()
+    def test_trials_are_gossiped(self) -> None:
+        self.crash_three()
         for known in self.fleet * 2:
             self.ask(known, self.fleet[3])
         self.clock.advance(defaults.QUARANTINE_TRY_S)
@@ -241,18 +243,18 @@
         self.assertFalse(self.fleet[1].quarantine.start_trial(named("x")))
 
     def test_entries_of_the_version_before_are_understood_and_understand(self) -> None:
-        self.end_three()
+        self.crash_three()
         news = self.fleet[3].exchange.news()
         encoded = msgspec.msgpack.encode(news)
         whole = msgspec.msgpack.decode(encoded)
-        # The first element is the message's tag.
+        # The first element is the tag of the message.
         before = whole[: 1 + GossipMessage.__struct_fields__.index("suspects")]
         told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
         self.assertEqual(((), 0), (told.suspects, told.suspects_sum))
         self.assertEqual(before, msgspec.msgpack.decode(encoded)[: len(before)])
         self.assertEqual(news.records, msgspec.msgpack.decode(encoded, type=EarlierNews).records)
 
-    def test_one_entry_makes_it(self) -> None:
+    def test_one_entry_runs_the_trial(self) -> None:
         names = [f"request{number}" for number in range(40)]
         for known in self.fleet:
             known.members.update_own(ready=True)
@@ -262,8 +264,8 @@
         self.assertEqual({1}, {sum(one) for one in chosen})
         self.assertGreater(len({tuple(one) for one in chosen}), 1)
 
-    def test_those_that_agree_tell_no_more_of_it(self) -> None:
-        self.end_three()
+    def test_nothing_is_sent_once_checksums_agree(self) -> None:
+        self.crash_three()
         for known in self.fleet * 2:
             self.ask(known, self.fleet[3])
         self.assertEqual(1, len({known.quarantine.checksum() for known in self.fleet}))
@@ -278,9 +280,9 @@
         self.fleet[1].quarantine.record_answer(named("x"))
         self.ask(self.fleet[0], self.fleet[1])
         crash(self.fleet[0].quarantine, "t2", "x")
-        self.assertEqual([False], self.know(self.fleet[0]))
+        self.assertEqual([False], self.blocks(self.fleet[0]))
 
-    def test_what_is_seen_again_is_told_at_once(self) -> None:
+    def test_a_repeated_suspect_is_an_urgent_update(self) -> None:
         told: t.List[bool] = []
         quarantine = self.fleet[0].quarantine
         quarantine.on_update = told.append
--- a/tests/traffic/test_quarantine_fleet.py
+++ b/tests/traffic/test_quarantine_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of how soon all entries of a fleet refuse a request that ends targets, on virtual time."""
+"""Tests of how soon all entries of a fleet quarantine a poison request, on virtual time."""
 
 import asyncio
 import random
@@ -17,36 +17,36 @@
 from tests.traffic.test_gossip import CarryingLinks
 from tests.virtual_loop import LoopClock, run_virtual
 
-DEADLY = Fingerprint(HeadDigest(1), 2)
+POISON = Fingerprint(HeadDigest(1), 2)
 CALLER = caller_digest("10.0.0.1")
-#: As in the test of processes: from the third end on, and how often it may be sent later.
+#: Seconds from the third crash until all entries know it, and most sends after that.
 STABLE_S = 3.0
-MOST_LATER = 3
-_WAY_S = 0.035
-#: Seconds from a send until its target has ended and the entry knows it, and between two attempts.
-_ENDS_S = 0.15
-_EVERY_S = 0.1
-_PLAYED_S = 8.0
+MAX_LATE_SENDS = 3
+_LATENCY_S = 0.035
+#: Seconds from a send until the entry knows of the crash, and between two attempts.
+_CRASH_S = 0.15
+_ATTEMPT_INTERVAL_S = 0.1
+_DURATION_S = 8.0
 
 
 class Links(CarryingLinks):
-    """Carries pushes, too, unless all of them are lost."""
+    """Links that also carry pushes, unless all pushes are to be lost."""
 
     def __init__(self, others: t.Sequence[EntryFixture], pushes: bool) -> None:
-        super().__init__(others, _WAY_S)
+        super().__init__(others, _LATENCY_S)
         self._pushes = pushes
         self.gossip_by_address: t.Dict[str, Gossip] = {}
 
     async def post(self, address: str, push: Push) -> None:
         if not self._pushes:
             return
-        await asyncio.sleep(_WAY_S)
+        await asyncio.sleep(_LATENCY_S)
         self.gossip_by_address[address].relay(push.news, push.relay)
         self.others[address].exchange.take(push.news)
 
 
 class Fleet:
-    """Entries that all know each other, and how often the deadly request was sent to a target."""
+    """Entries that all know each other, and the times of the sends of the poison request."""
 
     def __init__(self, count: int, pushes: bool, clock: LoopClock) -> None:
         self.clock = clock
@@ -54,7 +54,7 @@
         self.entries = [EntryFixture(f"e{number}", clock, seed=number) for number in range(count)]
         self.links = Links(self.entries, pushes)
         self.sent_at: t.List[float] = []
-        self.ended_at: t.List[float] = []
+        self.crashed_at: t.List[float] = []
         records = [make_record(f"e{number}") for number in range(count)]
         self.work: t.List["asyncio.Task[t.Any]"] = []
         for number, known in enumerate(self.entries):
@@ -70,17 +70,17 @@
         return Gossip(known.exchange, known.members, links, [], self.clock, random.Random(seed))
 
     async def attempt(self, known: EntryFixture) -> None:
-        """One attempt at an entry: two sends at the most, each of which ends a target."""
+        """One attempt at an entry: at most two sends, each of which crashes a target."""
         for _ in range(2):
-            if known.quarantine.refuses(DEADLY, CALLER):
+            if known.quarantine.refuses(POISON, CALLER):
                 return
             number = len(self.sent_at)
             self.sent_at.append(self.clock.monotonic())
-            await asyncio.sleep(_ENDS_S)
-            self.ended_at.append(self.clock.monotonic())
-            # Another request was in hand there, which ends with it.
+            await asyncio.sleep(_CRASH_S)
+            self.crashed_at.append(self.clock.monotonic())
+            # An innocent request was in flight there, too.
             beside = Fingerprint(HeadDigest(100 + number), 2)
-            in_hand = [(DEADLY, CALLER), (beside, CALLER)]
+            in_hand = [(POISON, CALLER), (beside, CALLER)]
             crash = crash_digest(TargetId(f"t{number}"), 1)
             known.quarantine.record_crash(crash, in_hand)
 
@@ -89,11 +89,11 @@
         while self.clock.monotonic() < until:
             entry = self.rng.choice(self.entries)
             self.work.append(asyncio.create_task(self.attempt(entry)))
-            await asyncio.sleep(_EVERY_S)
+            await asyncio.sleep(_ATTEMPT_INTERVAL_S)
 
-    def later(self) -> int:
-        """Sends later than the bound after the third end."""
-        third_at = sorted(self.ended_at)[2]
+    def count_late_sends(self) -> int:
+        """Number of sends after the time at which all entries have to know of the third crash."""
+        third_at = sorted(self.crashed_at)[2]
         return sum(at > third_at + STABLE_S for at in self.sent_at)
 
 
@@ -111,12 +111,12 @@
         async def main(clock: LoopClock) -> t.Tuple[int, bool]:
             fleet = Fleet(count, pushes, clock)
             await asyncio.sleep(1.0)
-            await fleet.play(_PLAYED_S)
-            knows = all(known.quarantine.refuses(DEADLY, CALLER) for known in fleet.entries)
+            await fleet.play(_DURATION_S)
+            knows = all(known.quarantine.refuses(POISON, CALLER) for known in fleet.entries)
             for task in fleet.work:
                 task.cancel()
-            return fleet.later(), knows
+            return fleet.count_late_sends(), knows
 
-        later, knows = run_virtual(main)
-        self.assertLessEqual(later, MOST_LATER)
+        count_late_sends, knows = run_virtual(main)
+        self.assertLessEqual(count_late_sends, MAX_LATE_SENDS)
         self.assertTrue(knows)
--- a/tests/traffic/test_quota_ledger.py
+++ b/tests/traffic/test_quota_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of what an owner grants by the shares that are lent to it."""
+"""Tests of the tokens that an owner grants from the shares that are leased to it."""
 
 import typing as t
 import unittest
@@ -38,25 +38,25 @@
 
 
 class Owner:
-    """An owner on a clock that is moved by hand."""
+    """An owner on a manual clock."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(100.0)
-        self.ledger = TokenBuckets(self.clock)
+        self.token_buckets = TokenBuckets(self.clock)
 
-    def lend(self, lenders: int, seconds: float = 1000.0, of: int = 10) -> None:
-        for number in range(lenders):
-            self.ledger.add_lease(EntryId(f"e{number}"), ALL, 1 / of, seconds)
+    def add_leases(self, lessors: int, seconds: float = 1000.0, of: int = 10) -> None:
+        for number in range(lessors):
+            self.token_buckets.add_lease(EntryId(f"e{number}"), ALL, 1 / of, seconds)
 
     def wait(self, seconds: float) -> None:
-        """Let time pass, as the entry's rounds see it."""
+        """Advances the clock in steps with periodic maintenance."""
         until = self.clock.now + seconds
         while self.clock.now < until:
             self.clock.advance(min(0.1, until - self.clock.now))
-            self.ledger.tick()
+            self.token_buckets.tick()
 
     def take(self, count: int = 1000, limit: Limit = LIMIT) -> int:
-        return self.ledger.take(ACME, limit, count).count
+        return self.token_buckets.take(ACME, limit, count).count
 
 
 class LimitTest(unittest.TestCase):
@@ -89,7 +89,7 @@
         self.assertEqual(burst, limit.burst)
 
 
-class LedgerTest(unittest.TestCase):
+class TokenBucketsTest(unittest.TestCase):
     @parameterized.expand(
         [
             ("at once", 10, 0.0, 0),
@@ -102,10 +102,10 @@
         ]
     )
     def test_tokens_come_with_shares(
-        self, _name: str, lenders: int, seconds: float, expected: int
+        self, _name: str, lessors: int, seconds: float, expected: int
     ) -> None:
         owner = Owner()
-        owner.lend(lenders)
+        owner.add_leases(lessors)
         owner.wait(seconds)
         self.assertEqual(expected, owner.take())
 
@@ -121,24 +121,24 @@
         self, _name: str, seconds: float, others: int, all_tokens: int
     ) -> None:
         owner = Owner()
-        owner.lend(10)
+        owner.add_leases(10)
         owner.wait(seconds)
-        self.assertEqual(others, owner.ledger.take(ACME, LIMIT, 1000, spare_only=True).count)
+        self.assertEqual(others, owner.token_buckets.take(ACME, LIMIT, 1000, spare_only=True).count)
         self.assertEqual(all_tokens - others, owner.take())
 
-    def test_who_may_not_take_what_is_reserved_is_told_when_there_is_more(self) -> None:
+    def test_wait_for_tokens_beyond_the_reserved_part(self) -> None:
         owner = Owner()
-        owner.lend(10)
+        owner.add_leases(10)
         owner.take(0)
-        waits = [owner.ledger.take(ACME, LIMIT, 1, spare_only=True).wait_s for _ in range(3)]
+        waits = [owner.token_buckets.take(ACME, LIMIT, 1, spare_only=True).wait_s for _ in range(3)]
         for wait in waits:
             self.assertAlmostEqual(1.1, wait)
-        # Those that may are not told to queue behind.
-        self.assertAlmostEqual(0.1, owner.ledger.take(ACME, LIMIT, 1).wait_s)
+        # Requests that may use the reserved part do not queue behind these.
+        self.assertAlmostEqual(0.1, owner.token_buckets.take(ACME, LIMIT, 1).wait_s)
 
-    def test_often_asked_grants_as_much_as_seldom(self) -> None:
+    def test_frequent_requests_do_not_change_the_rate(self) -> None:
         owner = Owner()
-        owner.lend(10)
+        owner.add_leases(10)
         granted = 0
         for _ in range(1000):
             owner.clock.advance(0.01)
@@ -147,7 +147,7 @@
 
     def test_a_lease_that_is_over_adds_nothing_more(self) -> None:
         owner = Owner()
-        owner.lend(5, seconds=1.0)
+        owner.add_leases(5, seconds=1.0)
         owner.wait(60.0)
         self.assertEqual(0, owner.take())
 
@@ -156,73 +156,75 @@
         self, _name: str, asked: int, expected: int
     ) -> None:
         owner = Owner()
-        owner.lend(10)
+        owner.add_leases(10)
         owner.wait(60.0)
         if asked:
             self.assertEqual(1, owner.take(1))
         for number in range(2, 10):
-            owner.ledger.end_leases(EntryId(f"e{number}"))
-        owner.lend(10)
-        # Two of ten shares hold 20 x 0.2 tokens.
+            owner.token_buckets.end_leases(EntryId(f"e{number}"))
+        owner.add_leases(10)
+        # A bucket with two of ten shares holds 20 x 0.2 tokens.
         self.assertEqual(expected, owner.take())
 
-    def test_few_lenders_that_come_and_go_cost_little(self) -> None:
+    def test_an_interrupted_lease_costs_few_tokens(self) -> None:
         owner = Owner()
-        owner.lend(10)
+        owner.add_leases(10)
         owner.wait(60.0)
-        owner.ledger.end_leases(EntryId("e0"))
-        owner.lend(10)
+        owner.token_buckets.end_leases(EntryId("e0"))
+        owner.add_leases(10)
         self.assertEqual(18, owner.take())
 
     def test_unused_tokens_come_back(self) -> None:
         owner = Owner()
-        owner.lend(10)
+        owner.add_leases(10)
         owner.wait(60.0)
         self.assertEqual(20, owner.take())
-        owner.ledger.return_tokens(ACME, 5)
+        owner.token_buckets.return_tokens(ACME, 5)
         self.assertEqual(5, owner.take())
-        owner.ledger.return_tokens(ACME, 500)
+        owner.token_buckets.return_tokens(ACME, 500)
         self.assertEqual(20, owner.take())
 
     def test_a_lower_limit_binds_at_once(self) -> None:
         owner = Owner()
-        owner.lend(10)
+        owner.add_leases(10)
         owner.wait(60.0)
         self.assertEqual(1, owner.take(1))
         self.assertEqual(3, owner.take(limit=Limit(3.0, 3.0)))
 
-    def test_who_is_refused_comes_back_one_after_the_other(self) -> None:
+    def test_rejected_requests_retry_one_after_the_other(self) -> None:
         owner = Owner()
-        owner.lend(10)
+        owner.add_leases(10)
         owner.take(0)
-        waits = [owner.ledger.take(ACME, LIMIT, 1).wait_s for _ in range(4)]
+        waits = [owner.token_buckets.take(ACME, LIMIT, 1).wait_s for _ in range(4)]
         for wait, expected in zip(waits, (0.1, 0.2, 0.3, 0.4), strict=True):
             self.assertAlmostEqual(expected, wait)
 
-    def test_tenants_that_send_no_more_cost_no_memory(self) -> None:
+    def test_idle_buckets_are_removed(self) -> None:
         owner = Owner()
-        owner.lend(10)
+        owner.add_leases(10)
         owner.wait(60.0)
         for number in range(100):
-            owner.ledger.take(tenant_limit_key(TenantId(f"t{number}")), LIMIT, 1)
-        shares = owner.ledger._shares.values()
+            owner.token_buckets.take(tenant_limit_key(TenantId(f"t{number}")), LIMIT, 1)
+        shares = owner.token_buckets._shares.values()
         self.assertEqual(100, sum([len(one.buckets) for one in shares]))
         owner.wait(12.0)
         self.assertEqual(0, sum([len(one.buckets) for one in shares]))
 
 
-class AnswerTest(unittest.TestCase):
-    """What counts of a message that another entry sent, perhaps long ago."""
+class LeaseMessageTest(unittest.TestCase):
+    """Which leases of a message count, depending on its age and its fields."""
 
     def grant(self, **changes: t.Any) -> t.Tuple[int, bool]:
         clock = ManualClock(100.0)
         own = make_record("e1", incarnation=Incarnation(7), **changes.pop("own", {}))
-        ledger = TokenBuckets(clock)
-        permits = Permits(t.cast(t.Any, FakeMembers(own)), t.cast(t.Any, None), ledger, clock)
+        token_buckets = TokenBuckets(clock)
+        permits = Permits(
+            t.cast(t.Any, FakeMembers(own)), t.cast(t.Any, None), token_buckets, clock
+        )
         state_view = FakeStateView(make_tenant(rate_per_s=10.0, burst=20.0))
         permits.sources.append(Quotas(permits, t.cast(t.Any, state_view), BOUNDS, clock))
         peer = Hello(entry_id=EntryId("e2"), incarnation=Incarnation(1))
-        lending: t.Dict[str, t.Any] = {
+        lease_fields: t.Dict[str, t.Any] = {
             "wants": (),
             "slots": group_by_region([slot_of(ACME)]),
             "share": 1.0,
@@ -230,10 +232,10 @@
             "answered_s": 100.0,
             "incarnation": Incarnation(7),
         }
-        permits.answer(peer, PermitRequest(**{**lending, **changes}))
+        permits.answer(peer, PermitRequest(**{**lease_fields, **changes}))
         for _ in range(600):
             clock.advance(0.1)
-            ledger.tick()
+            token_buckets.tick()
         want = TokenRequest(ACME, 50, 0, Limit(1.0, 1.0))
         answer = permits.answer(peer, PermitRequest(wants=(want,)))
         return answer.grants[0].count, answer.closed
--- a/tests/traffic/test_report_histories.py
+++ b/tests/traffic/test_report_histories.py
@@ -1,4 +1,4 @@
-"""Any history of rows, answers and failures keeps to what targets said of themselves."""
+"""Randomized test: reports of targets hold in any history of rows, answers and failures."""
 
 import collections
 import random
@@ -16,20 +16,20 @@
 _SEEDS = 250
 _STEPS = 60
 _TARGETS = 4
-#: Fewer than targets, so that one takes over another's.
+#: Fewer than targets, so that addresses are reused.
 _ADDRESSES = 3
 _SECONDS = (0.05, 0.3, 0.5, 1.0, 3.0)
 _COOLDOWNS_S = (0.05, 0.5, 1.0, 3.0, 10.0)
-#: By how much a time that a caller is told may end too soon.
+#: Seconds by which a time that is told to a caller may be too short.
 _ROUNDING_S = 1e-6
 
 _Lifetime = t.Tuple[str, t.Optional[int], str]
 
 
 class History:
-    """One entry, targets that come, go and speak, and requests that wait before they are sent.
+    """One entry, targets that start, stop and report, and requests that wait before they are sent.
 
-    :param rng: draws what happens.
+    :param rng: draws the events.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -37,14 +37,14 @@
         self.steered = SteeringFixture()
         self.rows: t.Dict[TargetId, Target] = {}
         self.born = 1000
-        #: Lifetimes that said to this entry that they leave, and ends of cooldowns.
-        self.left: t.Set[_Lifetime] = set()
-        self.cool_until: t.Dict[_Lifetime, float] = {}
-        #: Requests that have a place and wait for a connection or a token.
+        #: Lifetimes that announced their departure to this entry, and ends of cooldowns.
+        self.departed: t.Set[_Lifetime] = set()
+        self.cooldown_until: t.Dict[_Lifetime, float] = {}
+        #: Requests with a reservation that wait for a connection or a token.
         self.waiting: t.List[TargetReservation] = []
         #: Requests that were sent and not answered yet.
         self.sent: t.List[TargetReservation] = []
-        #: What was seen, to show that histories are not empty.
+        #: Number of events by kind, to show that the histories cover them.
         self.counts: t.Counter[str] = collections.Counter()
         for number in range(2):
             self._start(number, number)
@@ -53,27 +53,27 @@
         events = (
             [self.ask] * 5 + [self.send] * 5 + [self.answer] * 5 + [self.wait] * 3 + [self.fail]
         )
-        events += [self.start, self.write_again, self.vanish]
+        events += [self.start, self.rewrite_row, self.lose_row]
         for _ in range(steps):
             self.rng.choice(events)()
-            self.check_that_free_targets_are_used()
+            self.check_unrestricted_targets_are_used()
 
     @property
     def now(self) -> float:
         return self.steered.clock.now
 
     def start(self) -> None:
-        """A new lifetime, under an id and at an address that others may have had."""
+        """Starts a lifetime, under an id and at an address that others may have had."""
         self._start(self._number(), self.rng.randrange(_ADDRESSES))
 
     def _start(self, number: int, address: int) -> None:
         self.born += 1
         target = make_target(number, address=f"127.0.0.1:{address + 1}", born=self.born)
         self.rows[target.target_id] = target
-        self._tell_rows()
+        self._update_rows()
 
-    def write_again(self) -> None:
-        """A row that says something else of the same lifetime, perhaps out of date."""
+    def rewrite_row(self) -> None:
+        """Changes the row of a lifetime, perhaps to an outdated one."""
         number = self._number()
         target = self.rows.get(TargetId(f"t{number}"))
         if target is None:
@@ -85,28 +85,28 @@
             cold_s=self.rng.choice((0.0, 0.0, 0.5)),
             leaving=self.rng.random() < 0.2,
         )
-        self._tell_rows()
+        self._update_rows()
 
-    def vanish(self) -> None:
-        """A row is lost, for good or for a moment."""
+    def lose_row(self) -> None:
+        """Removes a row, for good or for a moment."""
         target = self.rows.pop(TargetId(f"t{self._number()}"), None)
-        self._tell_rows()
+        self._update_rows()
         if target is not None and self.rng.random() < 0.7:
             self.rows[target.target_id] = target
-            self._tell_rows()
+            self._update_rows()
 
     def wait(self) -> None:
         self.steered.clock.advance(self.rng.choice(_SECONDS))
         self.steered.targets.reports.tick(self.steered.targets.by_id)
 
     def fail(self) -> None:
-        """A target seems unwell, so that fallbacks count."""
+        """Lets a target seem unhealthy, so that fallbacks are used."""
         state = self.steered.targets.by_id.get(TargetId(f"t{self._number()}"))
         if state is not None:
             state.record_failure(reached=False)
 
     def ask(self) -> None:
-        """Requests come, or go on after a target turned them away."""
+        """New requests arrive, or ones that a target rejected are retried."""
         shed = self.steered.targets.by_id.get(TargetId(f"t{self._number()}"))
         if shed is not None and not shed.sheds_at_random():
             shed = None
@@ -123,7 +123,7 @@
             self.waiting.append(reservation)
 
     def send(self) -> None:
-        """Requests that waited are sent, unless the last check objects."""
+        """Sends requests that waited, unless the last check blocks them."""
         for _ in range(min(self.rng.randint(1, 4), len(self.waiting))):
             reservation = self.waiting.pop(0)
             expected = self._restriction(reservation.state)
@@ -136,7 +136,7 @@
             self.sent.append(reservation)
 
     def answer(self) -> None:
-        """A target answers, and may say something of itself."""
+        """A target answers, perhaps with a report."""
         if not self.sent:
             return
         reservation = self.sent.pop(self.rng.randrange(len(self.sent)))
@@ -146,19 +146,19 @@
         self.steered.targets.reports.record(reservation.state, report, self.now)
         reservation.state.record_success()
         reservation.release()
-        named = _lifetime(reservation.state.target)
+        lifetime = _lifetime(reservation.state.target)
         if leaving:
-            self.left.add(named)
+            self.departed.add(lifetime)
         if cooldown_s is not None:
             until = self.now + cooldown_s
-            self.cool_until[named] = max(self.cool_until.get(named, 0.0), until)
+            self.cooldown_until[lifetime] = max(self.cooldown_until.get(lifetime, 0.0), until)
 
-    def check_that_free_targets_are_used(self) -> None:
-        """A target that is there and asked for nothing is used, whatever others asked for."""
+    def check_unrestricted_targets_are_used(self) -> None:
+        """A target without restrictions is used, whatever other targets reported."""
         for state in self.steered.targets.by_id.values():
-            free = self._restriction(state) is None and not state.target.leaving
-            well = state.is_usable() and not state.is_cold() and not state.is_unresponsive()
-            if not free or not well or not state.has_room():
+            unrestricted = self._restriction(state) is None and not state.target.leaving
+            healthy = state.is_usable() and not state.is_cold() and not state.is_unresponsive()
+            if not unrestricted or not healthy or not state.has_room():
                 continue
             reservation = self.steered.steering.choose(make_route(), PEDIDOS, b"probe", ())
             reservation.cancel()
@@ -173,16 +173,16 @@
         if refusal.fields["reason"] != "cooldown":
             return
         states = self.steered.targets.of_service(PEDIDOS)
-        ends = [self.cool_until[_lifetime(state.target)] for state in states]
+        ends = [self.cooldown_until[_lifetime(state.target)] for state in states]
         assert self.now + refusal.retry_after >= min(ends) - _ROUNDING_S
 
     def _restriction(self, state: TargetState) -> t.Optional[str]:
-        named = _lifetime(state.target)
-        if named in self.left:
+        lifetime = _lifetime(state.target)
+        if lifetime in self.departed:
             return "leaves"
-        return "cools down" if self.cool_until.get(named, 0.0) > self.now else None
+        return "cools down" if self.cooldown_until.get(lifetime, 0.0) > self.now else None
 
-    def _tell_rows(self) -> None:
+    def _update_rows(self) -> None:
         self.steered.targets.update(self.rows)
 
 
--- a/tests/traffic/test_target_fleet.py
+++ b/tests/traffic/test_target_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of a target's limit that all entries keep together, on virtual time."""
+"""Tests of target limits that all entries share, on virtual time."""
 
 import asyncio
 import typing as t
@@ -22,16 +22,16 @@
 
 Scene = t.Callable[[LimitFleet, float], t.Awaitable[None]]
 
-#: Seconds of traffic before the target names its limit.
-_BEFORE_S = 3.0
+#: Seconds of traffic before the target reports its limit.
+_WARMUP_S = 3.0
 
 
 def play(scene: Scene, count: int, limit_per_s: float, per_s: float) -> t.Tuple[LimitFleet, float]:
-    """A fleet after a scene, and when the limit was first named."""
+    """Runs a scene; returns the fleet, and when the limit was first reported."""
 
     async def main(clock: LoopClock) -> t.Tuple[LimitFleet, float]:
         fleet = LimitFleet(count, clock)
-        await fleet.play(_BEFORE_S, per_s)
+        await fleet.play(_WARMUP_S, per_s)
         fleet.limit_per_s = limit_per_s
         named_at = clock.monotonic()
         await scene(fleet, per_s)
@@ -102,7 +102,7 @@
 
 
 async def owners_change(fleet: LimitFleet, per_s: float) -> None:
-    """Entries take turns at being told that the owner serves no more, while it does."""
+    """Half of the entries in turn learn wrongly that the owner has stopped serving."""
     for number in range(40):
         owner = owner_of(fleet)
         entries = fleet.entries[number % 2 :: 2]
@@ -117,7 +117,7 @@
 
 
 async def rest_and_return(fleet: LimitFleet, per_s: float) -> None:
-    """Callers come back once all tokens are saved up that there may be."""
+    """Callers return once the buckets are full."""
     await fleet.play(1.0, per_s)
     await asyncio.sleep(40.0)
     await fleet.play(6.0, per_s)
@@ -132,14 +132,14 @@
 
 
 def owner_of(fleet: LimitFleet) -> QuotaEntry:
-    """The entry that most entries think grants tokens for the target."""
+    """The entry that most entries regard as the owner of the target's limit."""
     slot = slot_of(target_limit_key(TARGET.target_id, REGIONS[0]))
     seen = [entry.permits.owners.of(slot)[0] for entry in fleet.entries if entry.running]
     owner_id = max(seen, key=seen.count)
     return next(entry for entry in fleet.entries if entry.entry_id == owner_id)
 
 
-class RuleTest(unittest.TestCase):
+class LimitTest(unittest.TestCase):
     @parameterized.expand(
         [
             (f"{scene.__name__}, {limit:g} a second at {count}", scene, limit, count)
@@ -177,8 +177,8 @@
         self.assertLessEqual(fullest_window(counted), most_of(limit))
 
 
-class OwedTest(unittest.TestCase):
-    """A target with a limit is given what it allows, wherever its callers are."""
+class ThroughputTest(unittest.TestCase):
+    """A target receives the rate of its limit, wherever its callers are."""
 
     @parameterized.expand(
         [
@@ -207,8 +207,8 @@
             await fleet.play(seconds, per_s, entries)
 
         fleet, named_at = play(scene, count, limit, max(15.0, limit * 3))
-        given = [one for one in fleet.arrivals if one.at >= named_at + STABLE_S]
-        self.assertGreaterEqual(len(given), 0.85 * limit * seconds)
+        received = [one for one in fleet.arrivals if one.at >= named_at + STABLE_S]
+        self.assertGreaterEqual(len(received), 0.85 * limit * seconds)
 
     @parameterized.expand([(12,), (75,)])
     def test_one_that_takes_its_word_back_gets_all_again(self, count: int) -> None:
@@ -230,7 +230,7 @@
         self.assertLessEqual(fullest_window(again), most_of(2.0))
 
 
-class NewsTest(unittest.TestCase):
+class RecoveryTest(unittest.TestCase):
     @parameterized.expand([("a fresh start", True), ("a cut that is over", False)])
     def test_one_that_was_away_knows_the_limit_again(self, _name: str, killed: bool) -> None:
         async def scene(fleet: LimitFleet, per_s: float) -> None:
@@ -240,7 +240,7 @@
             if killed:
                 entry.kill()
                 entry.start()
-            # The limit is no news any more.
+            # By now the limit is not gossiped as an update any more.
             await fleet.play(4.0, per_s, fleet.entries[1:])
             fleet.heal()
             await fleet.play(3.0, per_s, fleet.entries[1:])
--- a/tests/traffic/test_target_limits.py
+++ b/tests/traffic/test_target_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of the limits that targets name."""
+"""Tests of the rate limits that targets report, and of how entries agree on them."""
 
 import typing as t
 import unittest
@@ -16,7 +16,7 @@
 from tests.traffic.limit_fleet import WINDOW_S, most_of
 from tests.traffic.makers import make_target
 
-#: Seconds at which each answer comes, at which its request was sent, and the limit that it names.
+#: Time of an answer in seconds, time at which its request was sent, and the reported limit.
 Answer = t.Tuple[float, float, t.Optional[float]]
 
 
@@ -58,29 +58,29 @@
     @parameterized.expand([(0.0,), (0.05,), (0.4,), (1.9,), (3.6,), (40.0,), (1000.0,)])
     def test_a_window_holds_less_than_the_users_allow(self, rate_per_s: float) -> None:
         bucket = token_bucket_for(rate_per_s)
-        filled = bucket.rate_per_s * WINDOW_S + bucket.burst
-        self.assertLessEqual(filled, most_of(rate_per_s))
+        max_granted = bucket.rate_per_s * WINDOW_S + bucket.burst
+        self.assertLessEqual(max_granted, most_of(rate_per_s))
         self.assertGreaterEqual(bucket.rate_per_s, rate_per_s)
-        # A region's part of it, where its owner is lost, still holds a token.
+        # The part of it that one region holds still has a token when the owner is lost.
         self.assertGreaterEqual(bucket.burst / 4, 1.0)
 
 
 class AgreementTest(unittest.TestCase):
-    """Entries that tell each other, by the messages of gossip."""
+    """Entries that replicate limits by gossip messages."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
         self.fleet = [EntryFixture(f"e{number}", self.clock) for number in range(3)]
         self.target = make_target()
-        self.name(0, 3.6)
+        self.report_limit(0, 3.6)
 
-    def name(self, number: int, rate_per_s: t.Optional[float]) -> None:
-        """An entry gets an answer to what it sent right now."""
+    def report_limit(self, number: int, rate_per_s: t.Optional[float]) -> None:
+        """An entry receives an answer to a request that it just sent."""
         limits = self.fleet[number].limits
         limits.record_answer(self.target, rate_per_s, self.clock.monotonic())
 
     def ask(self, asker: int, asked: int) -> None:
-        """One exchange of news."""
+        """One exchange of gossip messages."""
         answer = self.fleet[asked].exchange.answer(self.fleet[asker].exchange.news())
         self.fleet[asker].exchange.take(answer, self.clock.monotonic())
 
@@ -93,7 +93,7 @@
         for one in self.fleet:
             one.limits.tick(states.by_id)
 
-    def test_a_limit_is_told_on(self) -> None:
+    def test_a_limit_is_gossiped(self) -> None:
         self.ask(1, 0)
         self.ask(2, 1)
         self.assertEqual([3.6, 3.6], [self.known(1), self.known(2)])
@@ -108,7 +108,7 @@
 
     @parameterized.expand(
         [
-            # changes at entries 0 and 1, that do not know of each other's, and what holds then
+            # concurrent changes at entries 0 and 1, and the limit that results
             ("one took it back", [(0, None)], None),
             ("one raised it", [(0, 7.0)], 7.0),
             ("one took it back, one lowered it", [(0, None), (1, 2.0)], 2.0),
@@ -122,7 +122,7 @@
         self.ask(2, 0)
         for number, rate_per_s in changes:
             self.clock.advance(0.1)
-            self.name(number, rate_per_s)
+            self.report_limit(number, rate_per_s)
         for asker, asked in ((0, 1), (1, 0), (2, 1), (0, 2)):
             self.ask(asker, asked)
         self.assertEqual([expected] * 3, [self.known(number) for number in range(3)])
--- a/tests/traffic/test_target_reports.py
+++ b/tests/traffic/test_target_reports.py
@@ -1,4 +1,4 @@
-"""Tests of what targets say of themselves in their answers, and of what is kept of it."""
+"""Tests of parsing the reports of targets in answers, and of how long reports are kept."""
 
 import email.utils
 import typing as t
@@ -20,7 +20,7 @@
 
 
 def date(after_s: float) -> bytes:
-    """An HTTP date."""
+    """HTTP date, some seconds after the current time."""
     return email.utils.formatdate(_NOW_S + after_s, usegmt=True).encode()
 
 
@@ -94,7 +94,7 @@
             headers.append((b"date", dated))
         self.assertEqual(expected, read(status, *headers).cooldown_s)
 
-    def test_headers_without_end_are_not_all_remembered(self) -> None:
+    def test_remembered_unknown_headers_are_bounded(self) -> None:
         reader = AnswerReader(HEADERS, ManualClock())
         for number in range(1000):
             answer = ServerAnswer(200, [(f"x-{number}".encode(), b"1")], b"")
@@ -103,26 +103,26 @@
 
 
 class ReportsTest(unittest.TestCase):
-    """One target and what it said, as an entry keeps it."""
+    """Reports of one target, as an entry keeps them."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
         self.book = TargetRegistry(self.clock)
         self.target = make_target(born=1000)
-        self.put(self.target)
+        self.set_rows(self.target)
 
     @property
     def reports(self) -> TargetReports:
         return self.book.reports
 
-    def put(self, *targets: Target) -> None:
-        """Let these be all rows that there are."""
+    def set_rows(self, *targets: Target) -> None:
+        """Replaces all rows."""
         self.book.update({target.target_id: target for target in targets})
 
-    def say(self, **report: t.Any) -> None:
-        """The target answers a request that was sent right now."""
+    def report(self, **fields: t.Any) -> None:
+        """The target reports something in the answer to a request that was just sent."""
         state = self.book.by_id[self.target.target_id]
-        self.reports.record(state, TargetReport(**report), self.clock.monotonic())
+        self.reports.record(state, TargetReport(**fields), self.clock.monotonic())
 
     @parameterized.expand(
         [
@@ -133,12 +133,12 @@
         ]
     )
     def test_the_last_end_of_cooldowns_counts(
-        self, _name: str, named: t.Sequence[t.Tuple[float, float]], end_s: float
+        self, _name: str, durations: t.Sequence[t.Tuple[float, float]], end_s: float
     ) -> None:
         began = self.clock.now
-        for at_s, seconds in named:
+        for at_s, seconds in durations:
             self.clock.now = began + at_s
-            self.say(cooldown_s=seconds)
+            self.report(cooldown_s=seconds)
         self.assertAlmostEqual(began + end_s - self.clock.now, self.left_s())
         self.clock.now = began + end_s
         self.assertEqual(0.0, self.left_s())
@@ -146,15 +146,15 @@
     def left_s(self) -> float:
         return self.reports.cooldowns.remaining_s(self.target)
 
-    def test_what_is_over_is_forgotten(self) -> None:
-        self.say(cooldown_s=3.0)
+    def test_ended_cooldowns_are_removed(self) -> None:
+        self.report(cooldown_s=3.0)
         self.clock.advance(3.0)
         self.reports.tick(self.book.by_id)
         self.assertEqual({}, self.reports.cooldowns._by_lifetime)
 
     def test_a_departure_outlasts_its_row_for_a_while(self) -> None:
-        self.say(leaving=True)
-        self.put()
+        self.report(leaving=True)
+        self.set_rows()
         for seconds, known in ((500.0, True), (200.0, False)):
             self.clock.advance(seconds)
             self.reports.tick(self.book.by_id)
