--- a/tests/balancing/__init__.py
+++ b/tests/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of slots and shares."""
+"""Tests of the assignment of slots and of shares between regions."""
--- a/tests/balancing/test_capacity.py
+++ b/tests/balancing/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity of targets by both partners' bundles, and the limits while bundles change."""
+"""Slots of targets by the bundles of both partners, and the limits while bundles change."""
 
 import hashlib
 import typing as t
@@ -46,7 +46,7 @@
 
 @st.composite
 def bundle_pairs(draw: st.DrawFn, version: int = 1) -> Bundles:
-    """A bundle of each partner, each with targets in both partners' regions."""
+    """A bundle of each partner, each with targets in the regions of both."""
     found = {}
     for partner, own, other in (("cosecha", "sierra", "calor"), ("calor", "centro", "cosecha")):
         grants = draw(st.dictionaries(st.just((own, other)), st.integers(1, 9)))
@@ -59,8 +59,8 @@
     return found
 
 
-def deal_naively(bundles: Bundles) -> t.Dict[TargetId, int]:
-    """One slot a round to each target, as the rule says it."""
+def distribute_naively(bundles: Bundles) -> t.Dict[TargetId, int]:
+    """Reference: deals one slot per round to each target until a limit is used up."""
     slots = {}
     for bundle in bundles.values():
         for target_id, target in bundle.targets.items():
@@ -111,7 +111,7 @@
     @given(bundle_pairs())
     def test_same_as_dealing_one_by_one(self, bundles: Bundles) -> None:
         reserved = reserved_slots(bundles)
-        self.assertEqual(reserved, deal_naively(bundles))
+        self.assertEqual(reserved, distribute_naively(bundles))
         for pool, members in pools(bundles).items():
             total = sum(reserved[name] for name in members)
             self.assertLessEqual(total, pool_limit(bundles, pool))
@@ -212,7 +212,7 @@
 
 
 class ChangeTest(unittest.TestCase):
-    """One entry already serves under the new bundles, another does not know it yet."""
+    """One entry already serves under the new bundles while another does not know them yet."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(50)
--- a/tests/balancing/test_drain.py
+++ b/tests/balancing/test_drain.py
@@ -1,4 +1,4 @@
-"""Drains: no new work from the mark on, and the time until idle."""
+"""Drains: no new requests once a target is marked, and the time until it is idle."""
 
 import typing as t
 import unittest
@@ -14,7 +14,7 @@
 START, FINISH, MARK, UNMARK, GO = "start", "finish", "mark", "unmark", "go"
 
 
-def play(events: t.Sequence[t.Tuple[float, str]]) -> DrainTracker:
+def run_events(events: t.Sequence[t.Tuple[float, str]]) -> DrainTracker:
     drains = DrainTracker()
     for now, event in events:
         if event == START:
@@ -63,7 +63,7 @@
         in_flight: int,
         gone: bool,
     ) -> None:
-        drains = play(events)
+        drains = run_events(events)
         report = drains.reports()[T]
         self.assertEqual(
             (report.seconds, report.in_flight, report.gone), (seconds, in_flight, gone)
@@ -79,7 +79,7 @@
         ]
     )
     def test_no_drain(self, _: str, events: t.Sequence[t.Tuple[float, str]]) -> None:
-        drains = play(events)
+        drains = run_events(events)
         self.assertEqual(drains.reports(), {})
         self.assertTrue(drains.allows(T))
 
--- a/tests/balancing/test_handover.py
+++ b/tests/balancing/test_handover.py
@@ -1,4 +1,4 @@
-"""When a new owner may use its slots, and what becomes of those it loses."""
+"""When a new owner may use its slots, and what happens to slots that an entry loses."""
 
 import typing as t
 import unittest
@@ -33,7 +33,7 @@
 
 
 class Entry:
-    """An entry ``a`` whose lease never lapses."""
+    """An entry ``a`` whose lease does not expire."""
 
     def __init__(self, limits: Limits) -> None:
         self.clock = ManualClock(100)
@@ -44,22 +44,22 @@
         self.limits = limits
         self.slots = SlotTable(EntryId("a"), lease, self.clock, settings)
 
-    def rows(self, *rows: Row) -> None:
+    def apply_rows(self, *rows: Row) -> None:
         self.roster.apply(rows)
-        self.work()
+        self.run_updates()
 
     def ack(self, name: str, revision: int, incarnation: int = 1) -> None:
         ack = Ack(EntryId(name), Incarnation(incarnation), Revision(revision))
         self.slots.apply_acks([ack])
-        self.work()
+        self.run_updates()
 
-    def work(self) -> None:
+    def run_updates(self) -> None:
         self.slots.update(self.roster, self.limits)
         for _ in self.slots.update_steps():
             pass
 
     def usable_from(self, horizon_s: float = 60) -> t.Dict[float, int]:
-        """Seconds from now at which the number of free slots changes, and to what."""
+        """Returns the number of free slots by the seconds from now at which it changes."""
         found: t.Dict[float, int] = {}
         start, known = self.clock.now, 0
         for tenth in range(int(horizon_s * 10)):
@@ -72,15 +72,15 @@
 
 
 class RestTest(unittest.TestCase):
-    """Each row: events as (seconds to wait before it, what happens), expected usable slots."""
+    """Rows: events as (seconds to wait before it, event), and the expected usable slots."""
 
     def setUp(self) -> None:
         self.entry = Entry(make_limits())
 
     def _share(self, *names: str) -> int:
-        """Slots that ``a`` owns beside the named ones."""
+        """Returns the number of slots that ``a`` owns beside the named other members."""
         alone = Entry(self.entry.limits)
-        alone.rows(put("a", 1), *(put(name, 1 + number) for number, name in enumerate(names)))
+        alone.apply_rows(put("a", 1), *(put(name, 1 + number) for number, name in enumerate(names)))
         return sum(len(owned) for owned in alone.slots._inventory.owned_by_target.values())
 
     @parameterized.expand(
@@ -96,7 +96,7 @@
     ) -> None:
         for seconds, row in events:
             self.entry.clock.advance(seconds)
-            self.entry.rows(row)
+            self.entry.apply_rows(row)
         expected = {at: self._share(*others) for at, others in usable.items()}
         if usable == {0: "b"}:
             expected[7.5] = SLOTS
@@ -115,7 +115,7 @@
     def test_join(
         self, _name: str, acks: t.List[t.Tuple[t.Any, ...]], usable: t.Dict[float, str]
     ) -> None:
-        self.entry.rows(put("b", 1), put("a", 2))
+        self.entry.apply_rows(put("b", 1), put("a", 2))
         for seconds, *ack in acks:
             self.entry.clock.advance(seconds)
             self.entry.ack(*ack)
@@ -123,25 +123,25 @@
         self.assertEqual(self.entry.usable_from(), expected)
 
     def test_ack_of_newer_roster_counts_once_caught_up(self) -> None:
-        self.entry.rows(put("b", 1), put("a", 2))
+        self.entry.apply_rows(put("b", 1), put("a", 2))
         self.entry.ack("b", 3)
         self.entry.clock.advance(20)
-        self.entry.rows(put("c", 3))
+        self.entry.apply_rows(put("c", 3))
         self.entry.ack("c", 3)
         self.assertEqual(self.entry.usable_from(), {3.5: self._share("b", "c")})
 
     def test_removal_of_an_awaited_member_rests_anew(self) -> None:
-        self.entry.rows(put("b", 1), put("a", 2))
+        self.entry.apply_rows(put("b", 1), put("a", 2))
         self.entry.clock.advance(30)
-        self.entry.rows(deleted("b", 3))
+        self.entry.apply_rows(deleted("b", 3))
         self.assertEqual(self.entry.usable_from(), {7.5: SLOTS})
 
     def test_member_blocks_only_what_it_may_own(self) -> None:
-        self.entry.rows(put("b", 1), put("c", 2), put("a", 3))
+        self.entry.apply_rows(put("b", 1), put("c", 2), put("a", 3))
         self.entry.ack("b", 3)
         self.entry.clock.advance(20)
         self.assertEqual(self.entry.usable_from(), {})
-        self.entry.ack("c", 2)  # c knows b, so it owns nothing that b would own before it.
+        self.entry.ack("c", 2)  # c knows b, so it owns no slot for which b ranks higher.
         self.assertEqual(list(self.entry.usable_from()), [3.5])
         partly = self.entry.usable_from()[3.5]
         self.assertTrue(0 < partly < self._share("b", "c"))
@@ -150,29 +150,29 @@
         self.assertEqual(self.entry.usable_from(), {0: self._share("b", "c")})
 
     def test_rejoining_under_the_same_number_is_a_join(self) -> None:
-        self.entry.rows(put("b", 1), put("a", 2))
+        self.entry.apply_rows(put("b", 1), put("a", 2))
         self.entry.ack("b", 2)
         self.entry.clock.advance(20)
-        self.entry.rows(put("a", 5))
+        self.entry.apply_rows(put("a", 5))
         self.assertEqual(self.entry.usable_from(), {})
         leaving = msgspec.structs.replace(make_member("a"), state=EntryState.LEAVING)
         self.entry.ack("b", 5)
         self.entry.clock.advance(20)
         row = Row(roster_key(EntryId("a")), msgspec.msgpack.encode(leaving), Revision(6))
-        self.entry.rows(row)
+        self.entry.apply_rows(row)
         self.assertEqual(self.entry.usable_from(), {0: self._share("b")})
 
     def test_longer_timeout_rests_longer(self) -> None:
         self.entry.limits = make_limits(timeout_s=4.0)
-        self.entry.rows(deleted("b", 1), put("a", 2))
+        self.entry.apply_rows(deleted("b", 1), put("a", 2))
         self.assertEqual(self.entry.usable_from(), {TTL_S + 4 + MARGIN_S: SLOTS})
 
     def test_bundle_that_adds_slots_moves_none(self) -> None:
         self.entry.limits = make_limits(4)
-        self.entry.rows(deleted("b", 1), put("a", 2))
+        self.entry.apply_rows(deleted("b", 1), put("a", 2))
         self.entry.clock.advance(30)
         self.entry.limits = make_limits(SLOTS)
-        self.entry.work()
+        self.entry.run_updates()
         self.assertEqual(self.entry.usable_from(), {0: SLOTS})
 
 
@@ -181,7 +181,7 @@
         targets = {f"t{number}": make_target("sierra", 6) for number in range(30)}
         bundles = {COSECHA: make_bundle("cosecha", {"sierra": 999}, targets)}
         entry = Entry(CapacityLimits(ManualClock()).update(bundles, {}, {}, 0))
-        entry.rows(put("a", 1), *(put(f"e{number}", 2 + number) for number in range(499)))
+        entry.apply_rows(put("a", 1), *(put(f"e{number}", 2 + number) for number in range(499)))
         found = []
         for _ in range(4):
             owners = entry.slots.slots_by_owner(ServiceId("pedidos"), ())
@@ -194,7 +194,7 @@
 class LossTest(unittest.TestCase):
     def setUp(self) -> None:
         self.entry = Entry(make_limits())
-        self.entry.rows(put("a", 1))
+        self.entry.apply_rows(put("a", 1))
         self.slots = self.entry.slots
         self.held = [self.slots.acquire(T0) for _ in range(SLOTS)]
 
@@ -204,7 +204,7 @@
     def test_lost_at_once_and_counted_until_over(self) -> None:
         self.assertIsNone(self.slots.acquire(T0))
         self.assertEqual(self._lost(), [])
-        self.entry.rows(put("b", 2))
+        self.entry.apply_rows(put("b", 2))
         lost = self._lost()
         self.assertTrue(0 < len(lost) < SLOTS)
         self.assertEqual(self.slots.in_flight(T0), SLOTS)
@@ -214,8 +214,8 @@
         self.assertEqual(self.slots.free(T0), 0)
 
     def test_regained_while_busy(self) -> None:
-        self.entry.rows(put("b", 2))
-        self.entry.rows(deleted("b", 3))
+        self.entry.apply_rows(put("b", 2))
+        self.entry.apply_rows(deleted("b", 3))
         self.assertEqual(len(self.slots.busy_slots()), SLOTS)
         self.assertEqual(self.entry.usable_from(), {})
         for slot in self.held:
@@ -224,12 +224,12 @@
 
     def test_leaving_target_is_refused_at_the_last_check(self) -> None:
         self.entry.limits = make_limits(1)
-        self.entry.work()
+        self.entry.run_updates()
         self.assertEqual(len(self._lost()), SLOTS - 1)
 
     def test_nothing_is_acknowledged_while_a_request_outlasts_the_timeout(self) -> None:
         self.entry.limits = make_limits(timeout_s=0.2)
-        self.entry.rows(put("b", 2))
+        self.entry.apply_rows(put("b", 2))
         self.assertEqual(self.slots.acknowledged_revision, 0)
         self.entry.clock.advance(0.9)
         self.assertEqual(self.slots.acknowledged_revision, 2)
--- a/tests/balancing/test_health.py
+++ b/tests/balancing/test_health.py
@@ -1,4 +1,4 @@
-"""Health: what stale, missing, frozen and lying measurements may and may not do."""
+"""Health: the effect of stale, missing, frozen and wrong reports and results."""
 
 import typing as t
 import unittest
@@ -35,7 +35,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    """Reports only ever add to what the entry knows itself."""
+    """A report can only raise the load above what the entry uses itself."""
 
     @parameterized.expand(
         [
@@ -110,13 +110,13 @@
         health.refresh(1.1)
         self.assertEqual(usable(health, A, 1.1), 4)
 
-    def lose(self, health: ServiceHealth, region: RegionId, now: float) -> None:
+    def lose_region(self, health: ServiceHealth, region: RegionId, now: float) -> None:
         for number in range(defaults.REGION_DEAD_FAILURES):
             health.record_failure(name(region, number % 4), now)
 
     def test_region_is_lost_by_own_failures_and_found_by_one_answer(self) -> None:
         health = make_health()
-        self.lose(health, A, 1.0)
+        self.lose_region(health, A, 1.0)
         self.assertEqual(health.serving_regions, {B})
         self.assertEqual(usable(health, A, 1.0), 0)
         health.record_answer(name(A, 2), 0.01, 2.0)
@@ -124,8 +124,8 @@
 
     def test_all_lost_is_not_believed(self) -> None:
         health = make_health()
-        self.lose(health, A, 1.0)
-        self.lose(health, B, 1.0)
+        self.lose_region(health, A, 1.0)
+        self.lose_region(health, B, 1.0)
         self.assertEqual(health.serving_regions, {A, B})
         self.assertEqual(usable(health, A, 1.0) + usable(health, B, 1.0), 8)
 
--- a/tests/balancing/test_lending.py
+++ b/tests/balancing/test_lending.py
@@ -1,4 +1,4 @@
-"""Loans between an owner and a borrower, and the allowance on links that goes with slots."""
+"""Loans between an owner and a borrower, peak demand, and link rates by slots."""
 
 import collections
 import random
@@ -26,7 +26,7 @@
 
 SERVICE = ServiceId("pedidos")
 OWNER, BORROWER = EntryId("a"), EntryId("b")
-HELD_S = defaults.LOAN_TTL_S + 1 + MARGIN_S
+LENT_S = defaults.LOAN_TTL_S + 1 + MARGIN_S
 
 
 class LoanTest(unittest.TestCase):
@@ -44,7 +44,7 @@
         for _ in self.owned.update_steps():
             pass
         self.lender = Lender(self.owned, self.lease, self.clock, random.Random(1))
-        # The borrower has no lease at all, as one that could not join.
+        # The borrower has no lease, like an entry that could not join.
         self.used = SlotTable(BORROWER, Lease(settings, self.clock), self.clock, settings)
         self.used.update(Roster(), make_limits())
         self.borrower = Borrower(self.used, self.clock, random.Random(2))
@@ -62,8 +62,8 @@
         return answer
 
     def _deliver(self, returns: t.List[OutgoingReturn]) -> None:
-        for back in returns:
-            self.lender.accept_return(BORROWER, back.message)
+        for outgoing_return in returns:
+            self.lender.accept_return(BORROWER, outgoing_return.message)
 
     def _free(self) -> t.Tuple[int, int]:
         return self.owned.free(T0), self.used.free(T0)
@@ -75,7 +75,7 @@
         self.assertEqual(self._free(), (SLOTS - 2, 2))
         self.clock.advance(0.1)
         self.assertEqual(self._free(), (SLOTS - 2, 0))
-        self.clock.advance(HELD_S - defaults.LOAN_TTL_S - 0.1)
+        self.clock.advance(LENT_S - defaults.LOAN_TTL_S - 0.1)
         self.assertEqual(self._free(), (SLOTS - 2, 0))
         self.clock.advance(0.1)
         self.assertEqual((self._free(), self.lender.lent_count()), ((SLOTS, 0), 0))
@@ -113,7 +113,7 @@
         self.assertEqual(self._free(), (SLOTS, 0))
 
     @parameterized.expand(
-        [("other_borrower", 0, "c"), ("after_its_time", HELD_S, "b"), ("other_loan", 0, "b", 1)]
+        [("other_borrower", 0, "c"), ("after_its_time", LENT_S, "b"), ("other_loan", 0, "b", 1)]
     )
     def test_void_return(self, _name: str, wait_s: float, sender: str, off_by: int = 0) -> None:
         first = self._borrow(SLOTS)
--- a/tests/balancing/test_routing.py
+++ b/tests/balancing/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: policies, and the router on top of governor and health."""
+"""Routing: policies, and the router with its shift limiter and target health."""
 
 import typing as t
 import unittest
@@ -70,7 +70,7 @@
 def naive_choice(
     router: Router, free_by_id: t.Mapping[TargetId, int], tried: t.Collection[TargetId]
 ) -> t.Optional[TargetId]:
-    """The first of all targets ranked in full."""
+    """Reference: the first usable target of a full ranking."""
     allowed = [region for region in (A, B) if router.shift_limiter.is_allowed(region, bool(tried))]
     policy = policy_for(router.policy_name)
     for candidate in policy.rank(router.candidate_by_id[name] for name in free_by_id):
--- a/tests/balancing/test_shift.py
+++ b/tests/balancing/test_shift.py
@@ -1,4 +1,4 @@
-"""The shift cap: the planned line, and what the governor lets through."""
+"""The shift cap: planned shares, and the requests that the limiter allows."""
 
 import random
 import typing as t
@@ -89,8 +89,8 @@
             shift_limiter.count_request()
             allowed = shift_limiter.allowed_regions()
             self.assertTrue(allowed, "no share is missing, so nothing may be refused")
-            liked = A if number // 500 % 2 else C
-            region = liked if liked in allowed else rng.choice(allowed)
+            preferred = A if number // 500 % 2 else C
+            region = preferred if preferred in allowed else rng.choice(allowed)
             shift_limiter.charge(region)
             sent.append(region)
         for region, share in service.weights.items():
@@ -102,12 +102,12 @@
 
 
 class FullRegionTest(unittest.TestCase):
-    """A region that refuses much of its share gives some to others, as slowly as any shift."""
+    """A region that refuses much of its share loses some to others, no faster than any shift."""
 
-    def play(
+    def run_requests(
         self, seconds: float, room: t.Dict[RegionId, int], shift_limiter: ShiftLimiter, now: float
     ) -> float:
-        """20 requests every 0.05 seconds, of which each region takes no more than its room."""
+        """Runs 20 requests every 0.05 s, of which each region takes at most its room."""
         service = make_service({A: 0.5, B: 0.5}, 0.4)
         end = now + seconds
         while now < end:
@@ -135,7 +135,7 @@
     def test_shares(self, _: str, room: t.Dict[RegionId, int], moves: bool) -> None:
         service = make_service({A: 0.5, B: 0.5}, 0.4)
         shift_limiter = ShiftLimiter(CATALOGO, service, service.weights, 0.0)
-        now = self.play(20.0, room, shift_limiter, 0.0)
+        now = self.run_requests(20.0, room, shift_limiter, 0.0)
         rate = split_cap(service).rate_per_s
         gained = shift_limiter.shares[B] - 0.5
         self.assertLessEqual(gained, rate * now + 1e-9)
@@ -143,5 +143,5 @@
             self.assertAlmostEqual(gained, 0.0, places=2)
             return
         self.assertGreater(gained, rate * now / 2)
-        self.play(60.0, {A: 20, B: 20}, shift_limiter, now)
+        self.run_requests(60.0, {A: 20, B: 20}, shift_limiter, now)
         self.assertAlmostEqual(shift_limiter.shares[B], 0.5, places=2)
--- a/tests/balancing/test_shift_history.py
+++ b/tests/balancing/test_shift_history.py
@@ -1,4 +1,4 @@
-"""The shift cap, checked over whole histories by an account that forgets nothing."""
+"""The shift cap, checked over complete request histories by a reference implementation."""
 
 import random
 import typing as t
@@ -26,18 +26,20 @@
 STEP_S = 0.05
 
 
-class Sent(t.NamedTuple):
+class RequestRecord(t.NamedTuple):
     """One request of a history."""
 
     at: float
     entry: int
-    #: Where it was sent, or in whose name it was refused.
+    #: Region that it was sent to, or on whose behalf it was refused.
     region: t.Optional[RegionId]
     sent: bool
 
 
-def shares_between(history: t.Sequence[Sent], start: float, end: float, only_sent: bool) -> Shares:
-    """Naive: share of each region over the requests of one window."""
+def shares_between(
+    history: t.Sequence[RequestRecord], start: float, end: float, only_sent: bool
+) -> Shares:
+    """Reference: returns the share of each region over the requests of one window."""
     window = [sent for sent in history if start <= sent.at < end]
     shares: Shares = {}
     for request in window:
@@ -48,13 +50,13 @@
 
 
 def worst_excess(
-    history: t.Sequence[Sent],
+    history: t.Sequence[RequestRecord],
     cap: float,
     entries: int = 1,
     only_sent: bool = False,
     slack: int = COUNT_SLACK,
 ) -> float:
-    """Naive: the most by which a pair of consecutive windows is over the cap and the slack.
+    """Reference: returns the most by which two consecutive windows exceed the cap and the slack.
 
     :param slack: requests for each region and entry that do not count.
     """
@@ -76,7 +78,7 @@
 
 
 class Fleet:
-    """Governors of a few entries, driven by a script; policies change their minds at random."""
+    """Shift limiters of a few entries, driven by a script; the preferred region changes."""
 
     def __init__(self, seed: int, entries: int, weights: Shares, cap: float) -> None:
         self.rng = random.Random(seed)
@@ -87,8 +89,8 @@
         half = defaults.MAX_CLOCK_SKEW_S / 2
         self.skews = [self.rng.uniform(-half, half) for _ in range(entries)]
         self.shift_limiters = [self.make(index) for index in range(entries)]
-        self.history: t.List[Sent] = []
-        self.liked: t.Optional[RegionId] = None
+        self.history: t.List[RequestRecord] = []
+        self.preferred: t.Optional[RegionId] = None
 
     def planned(self, index: int) -> Shares:
         return planned_shares(self.head, CATALOGO, self.service, self.now + self.skews[index])
@@ -108,7 +110,7 @@
         self.service = make_service(weights, service.shift_cap, service.shift_window_s)
 
     def run(self, seconds: float, rate: float, mix: t.Optional[t.Sequence[float]] = None) -> None:
-        """Requests at ``rate`` for each entry, times its share in ``mix``."""
+        """Sends requests at ``rate`` for each entry, times its share in ``mix``."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_S
@@ -123,18 +125,20 @@
         shift_limiter.count_request()
         allowed = shift_limiter.allowed_regions()
         if not allowed:
-            self.history.append(Sent(self.now, index, shift_limiter.count_refused(), False))
+            self.history.append(
+                RequestRecord(self.now, index, shift_limiter.count_refused(), False)
+            )
             return
-        liked = self.liked or REGIONS[int(self.now / 3) % len(REGIONS)]
+        preferred = self.preferred or REGIONS[int(self.now / 3) % len(REGIONS)]
         region = self.rng.choice(allowed)
-        if liked in allowed or liked in shift_limiter.overdraft_regions():
-            region = liked
+        if preferred in allowed or preferred in shift_limiter.overdraft_regions():
+            region = preferred
         shift_limiter.charge(region)
-        self.history.append(Sent(self.now, index, region, True))
+        self.history.append(RequestRecord(self.now, index, region, True))
 
 
 WEIGHTS = st.tuples(*[st.integers(0, 5)] * 3).filter(any)
-#: Requests a second; those of the even scripts are always the same.
+#: Requests per second; scripts with an even load always use this rate.
 RATE = 400.0
 EVENTS = st.one_of(
     st.tuples(st.just("run"), st.floats(0.5, 6.0), st.sampled_from([0.0, 60.0, RATE])),
@@ -152,7 +156,7 @@
     }
 
 
-def play(fleet: Fleet, script: t.Sequence[t.Any], lossy: bool, even: bool) -> None:
+def run_script(fleet: Fleet, script: t.Sequence[t.Any], lossy: bool, even: bool) -> None:
     for event in script:
         if event[0] == "run":
             fleet.run(event[1], RATE if even else event[2])
@@ -184,7 +188,7 @@
         def check(weights: t.Sequence[int], cap: float, script: t.Sequence[t.Any]) -> None:
             fleet = Fleet(1, entries, shares_of(weights), cap)
             fleet.run(WINDOW_S, RATE)
-            play(fleet, script, lossy, even)
+            run_script(fleet, script, lossy, even)
             fleet.run(2 * WINDOW_S, RATE)
             slack = COUNT_SLACK if even else MAX_OVERDRAFT + 1
             excess = worst_excess(fleet.history, cap, entries, slack=slack)
@@ -194,18 +198,18 @@
 
 
 class WorstCaseTest(unittest.TestCase):
-    """Cases that use up what the cap is split into; the random ones seldom come near it."""
+    """Cases that use up the parts of the cap, which random scripts rarely come close to."""
 
     @parameterized.expand([(cap,) for cap in (0.1, 0.2, 0.6)])
     def test_early_in_one_window_and_late_in_the_next(self, cap: float) -> None:
         fleet = Fleet(1, 1, {A: 0.9, B: 0.05, C: 0.05}, cap)
         fleet.accept({C: 1.0})
         fleet.now += WINDOW_S
-        fleet.liked = A
+        fleet.preferred = A
         fleet.run(0.5, 8000.0)
         first = fleet.history[0].at
         fleet.run(2 * WINDOW_S - 1.2, 0.0)
-        fleet.liked = C
+        fleet.preferred = C
         fleet.run(0.5, 8000.0)
         middle = first + WINDOW_S
         before = shares_between(fleet.history, first, middle, True)
@@ -221,7 +225,7 @@
         fleet.accept({A: 0.1, B: 0.3, C: 0.6})
         moved = []
         for number in range(8):
-            fleet.liked = (A, C)[number % 2]
+            fleet.preferred = (A, C)[number % 2]
             fleet.run(WINDOW_S, rate)
         for number in range(1, 8):
             middle = fleet.history[0].at - STEP_S / 2 + number * WINDOW_S
@@ -253,7 +257,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """What entries that restart add while a region is coming back, and what a peer's word saves."""
+    """Effect of restarts while a region recovers, with and without a start from a peer's shares."""
 
     @parameterized.expand([("no memory", False), ("told by a peer", True)])
     def test_restarts_one_after_another(self, _: str, told: bool) -> None:
@@ -276,7 +280,7 @@
         fleet = Fleet(1, 1, {A: 0.5, B: 0.3, C: 0.2}, 0.4)
         fleet.run(WINDOW_S, 400.0)
         fleet.accept({A: 0.6, B: 0.4})
-        fleet.liked = A
+        fleet.preferred = A
         fleet.run(8 * WINDOW_S, 400.0)
         fleet.serving.discard(C)
         fleet.run(WINDOW_S, 400.0)
--- a/tests/balancing/test_slots.py
+++ b/tests/balancing/test_slots.py
@@ -1,4 +1,4 @@
-"""Slots: no target or region ever gets more than it bears, whatever happens to the entries."""
+"""Slots: no target or region gets more requests than its limit, whatever happens to entries."""
 
 import typing as t
 import unittest
@@ -16,7 +16,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Four entries that dispatch and lend all they may, while everything happens to them."""
+    """Four entries that dispatch and lend as much as allowed, under random faults."""
 
     @initialize(seed=st.integers(0, 999), first=st.sets(names, min_size=1))
     def begin(self, seed: int, first: "set[str]") -> None:
@@ -34,7 +34,7 @@
 
     @rule(name=names)
     def start_or_continue(self, name: str) -> None:
-        """A new process, on the old VM while the list has it, or the paused one."""
+        """Starts a new process, on the old VM while it is still listed, or resumes a paused one."""
         node = self.world.nodes.get(name)
         if node is None or node.dead:
             self.start(name)
@@ -81,7 +81,7 @@
         self.world.apart ^= {frozenset((first, second))}
 
     def teardown(self) -> None:
-        """Once all is well again, every slot is of use again."""
+        """Checks that all slots are usable again after all faults have ended."""
         world = getattr(self, "world", None)
         if world is None:
             return
@@ -102,7 +102,7 @@
 
 
 def suspended(world: World) -> None:
-    """A VM is suspended, called gone, removed, and comes back."""
+    """A VM is suspended, reported as gone, removed from the roster, and resumes."""
     world.nodes["a"].slow = True
     world.run(3)
     world.nodes["a"].paused = True
@@ -111,7 +111,7 @@
 
 
 def split(world: World) -> None:
-    """Two entries reach each other, but neither the platform nor the third."""
+    """Two entries reach each other, but neither the platform nor the third entry."""
     Node(world, "d")
     world.run(40)
     for name in "ad":
@@ -121,20 +121,20 @@
 
 
 def newcomer_beyond_a_split(world: World) -> None:
-    """An entry joins that those who are cut off never hear of."""
+    """An entry joins while others are partitioned and never learn of it."""
     split(world)
     Node(world, "c")
 
 
 def newcomer_and_slow_dispatch(world: World) -> None:
-    """An owner takes slots, loses them to an entry that joins, and only then dispatches."""
+    """An owner acquires slots, loses them to an entry that joins, and only then dispatches."""
     world.nodes["a"].hesitant = True
     world.run(2)
     Node(world, "c")
 
 
 def restarted_alone(world: World) -> None:
-    """The only entry is killed amid its requests and starts again on its VM."""
+    """The only entry is killed while it has requests, and starts again on its VM."""
     world.nodes["b"].dead = True
     world.run(60)
     world.nodes["a"].dead = True
@@ -142,7 +142,7 @@
 
 
 def lender_left(world: World) -> None:
-    """An owner leaves while its loans are out."""
+    """An owner leaves while its slots are on loan."""
     world.nodes["a"].busy = False
     world.run(20)
     for _ in range(20):
@@ -151,7 +151,7 @@
 
 
 def bundles_change(world: World) -> None:
-    """One bundle after another is staged, accepted and learned of late."""
+    """Bundles are staged and accepted one after another, and an entry learns of them late."""
     world.nodes["a"].slow = True
     Node(world, "c")
     for _ in range(25):
@@ -172,7 +172,7 @@
 
 
 class ScenarioTest(unittest.TestCase):
-    """What the machine above finds only in many more runs."""
+    """Faults that the state machine above finds only in many more runs."""
 
     @parameterized.expand([(scenario.__name__, scenario) for scenario in SCENARIOS])
     def test_naive_allocator_agrees(self, _name: str, scenario: Scenario) -> None:
@@ -183,7 +183,7 @@
             self.assertEqual(world.wrong, [])
 
     def test_platform_down(self) -> None:
-        """Owners go on without a gap, and a new entry lives on what they lend."""
+        """Owners go on without interruption, and a new entry serves with slots that they lend."""
         world = self._settled(1)
         for node in world.nodes.values():
             node.cut_off = True
@@ -199,7 +199,7 @@
         self.assertEqual(world.wrong, [])
 
     def test_hole_that_is_left(self) -> None:
-        """Isolated from all and called gone while it runs: that, and only that, overloads."""
+        """A running entry that is partitioned and wrongly reported as gone: only this overloads."""
         world = self._settled(1)
         split(world)
         self.assertEqual(world.wrong, [])
--- a/tests/balancing/test_wait_queue.py
+++ b/tests/balancing/test_wait_queue.py
@@ -1,4 +1,4 @@
-"""Requests of one service that wait for a slot on an entry."""
+"""Queue of the requests of one service that wait for a slot on an entry."""
 
 import asyncio
 import typing as t
@@ -74,7 +74,7 @@
 
     async def test_oldest_first_and_newcomers_behind(self) -> None:
         tasks = await self._wait(1)
-        # Runs before the one that waits, which the slot is for, can take it.
+        # The task runs before the waiting request, which the slot is for, can take it.
         newcomer = asyncio.create_task(self._serve(2))
         self._finish(self.held[0])
         self._finish(await tasks[0])
@@ -128,7 +128,7 @@
         await self._reserve()
 
     async def test_a_lease_that_lapses_between_choice_and_hold_is_no_error(self) -> None:
-        """Time passes between the two, by much if the process is paused just there."""
+        """Guards against a failure if the process is paused between choice and reservation."""
         self._finish(self.held[0])
         router = self.steering.served.routers()[COSECHA, SERVICE]
         chosen = router.choose
