--- a/src/coralfall/defaults.py
+++ b/src/coralfall/defaults.py
@@ -324,12 +324,12 @@
 LOOKUP_FILL_ADDRESSES = 16
 
 #: Number of targets that serve an object, in rendezvous hashing order.
-AFFINITY_HOMES = 2
+AFFINITY_CANDIDATES = 2
 #: Load limits of these targets, as multiples of their slots. They are applied one after the other:
 #: every target is filled up to the first limit, then every target up to the next.
-AFFINITY_LIMITS = (1.0, 1.5, 3.0)
+AFFINITY_LOAD_LIMITS = (1.0, 1.5, 3.0)
 #: The same for requests that have already waited longer than their answer is worth most.
-LATE_LIMITS = (1.0,)
+LATE_LOAD_LIMITS = (1.0,)
 #: Fraction of the allowed shift between regions that an entry uses, and the window in which the
 #: shift is counted.
 SHIFT_BUDGET_FRACTION = 2 / 3
