--- a/src/coralfall/traffic/member.py
+++ b/src/coralfall/traffic/member.py
@@ -60,7 +60,7 @@
         self.suspected_at = None
         #: Consecutive probes by this entry that were not answered.
         self.failed_probes = 0
-        #: Whether gossip has told of the entry; false if only its row in the store has.
+        #: Whether gossip has brought a record of the entry; false if it is known only from its row.
         self.known_by_gossip = True
 
     @property
--- a/src/coralfall/traffic/members.py
+++ b/src/coralfall/traffic/members.py
@@ -3,9 +3,9 @@
 In every gossip round an entry probes a few others, so that the cost for each entry does not grow
 with the fleet. One that does not answer is suspected, and the suspicion is gossiped to all. A
 suspect that learns of it refutes it by a record with a higher beat. A suspicion that is not refuted
-in time makes the entry dead until it sends a newer record; whoever exchanges messages with it tells
-it so. See SWIM (Das, Gupta and Motivala, 2002); its indirect probes are the probes that other
-entries send to a suspect.
+in time makes the entry dead until it sends a newer record; entries that exchange messages with it
+include the suspicion. See SWIM (Das, Gupta and Motivala, 2002); its indirect probes are the probes
+that other entries send to a suspect.
 
 Anti-entropy makes up for lost messages: entries compare a checksum over all that they know, and two
 whose checksums go on differing exchange all records.
@@ -89,7 +89,7 @@
         return True
 
     def add_registered(self, record: "EntryRecord") -> None:
-        """Adds an entry from its row in the store; it is dead until gossip tells of it.
+        """Adds an entry from its row in the store; it is dead until gossip brings a record.
 
         A row does not show whether its entry is alive.
         """
@@ -178,7 +178,7 @@
         return tuple([member.suspicion(now) for member in found])
 
     def suspicions_of(self, address: str) -> "t.Tuple[Suspicion, ...]":
-        """Returns the suspicions of the entry at an address, which it is to be told of."""
+        """Returns the suspicions of the entry at an address, to be sent to that entry."""
         now = self._clock.monotonic()
         found = [
             m for m in self._members_at(address) if m.suspected_at is not None and m.known_by_gossip
@@ -191,7 +191,7 @@
         return tuple([member.suspicion(now) for member in self._gossiped_suspects()])
 
     def _gossiped_suspects(self) -> t.List[Member]:
-        """Returns suspected and dead entries that gossip has told of.
+        """Returns suspected and dead entries of which gossip has brought a record.
 
         Entries known only from their rows are left out, since they may never have been probed: if
         all entries start at once, each would be reported as a suspect by all that read its row, and
--- a/src/coralfall/traffic/registry.py
+++ b/src/coralfall/traffic/registry.py
@@ -63,8 +63,8 @@
                 key, data = self._row_codec.encode_entry_row(self._members.own_record)
                 await self._table.transact([Write(key, data)])
                 # Reads after it has written: of two entries that start at the same moment, the one
-                # that wrote last finds the other. The seeds, too, tell of entries that were here
-                # before.
+                # that wrote last finds the other. Entries that were here before are also learnt
+                # from the seeds.
                 log.info("entry.registered", entries=await self._add_all() - 1)
                 return
             except PlatformError as error:
--- a/tests/traffic/test_members.py
+++ b/tests/traffic/test_members.py
@@ -103,11 +103,11 @@
         [("of the current beat", 1, 2), ("of a later beat", 7, 8), ("of an older beat", 0, 1)]
     )
     def test_a_suspect_refutes(self, _name: str, suspected: int, beat: int) -> None:
-        told = []
-        self.members.on_update = lambda at_once: told.append(self.members.own_record)
+        updates = []
+        self.members.on_update = lambda at_once: updates.append(self.members.own_record)
         self.members.merge_suspicions([suspicion("e1", suspected)])
         self.assertEqual(beat, self.members.own_record.beat)
-        self.assertEqual(beat > 1, bool(told))
+        self.assertEqual(beat > 1, bool(updates))
 
     def test_updates_are_recent_for_a_while_and_all_are_available(self) -> None:
         self.members.merge_records([make_record("e2"), make_record("e3")])
@@ -119,8 +119,8 @@
         self.assertEqual(["e1"], [record.entry_id for record in self.members.recent_records()])
         self.assertEqual((), self.members.recent_suspicions())
         self.assertEqual(0, self.members.suspected_count())
-        told = [record.entry_id for record in self.members.all_records()]
-        self.assertEqual(["e1", "e2"], told)
+        found = [record.entry_id for record in self.members.all_records()]
+        self.assertEqual(["e1", "e2"], found)
         (told_of,) = self.members.all_suspicions()
         self.assertEqual(("e3", defaults.GOSSIP_UPDATE_TTL_S), (told_of.entry_id, told_of.age_s))
 
@@ -276,8 +276,8 @@
 
     def test_they_are_not_gossiped_as_alive(self) -> None:
         """A row outlives its machine; entries that read it must not report the machine as alive."""
-        told = [record.entry_id for record in self.members.recent_records()]
-        self.assertEqual(["e1"], told)
+        found = [record.entry_id for record in self.members.recent_records()]
+        self.assertEqual(["e1"], found)
 
     @parameterized.expand([("the same version", 0), ("a newer one", 1)])
     def test_they_are_alive_once_gossip_tells_of_them(self, _name: str, beat: int) -> None:
@@ -385,9 +385,9 @@
         records = [make_record(f"e{n}x", zone=PUERTO, region=COSTA) for n in range(80)]
         lookup = self.lookup(*records)
         zones = [ZoneId(f"z{number}") for number in range(20)]
-        told = [set(lookup.addresses(LookupQuery("a.example", SIERRA, z))) for z in zones]
-        self.assertEqual({defaults.MAX_LOOKUP_ADDRESSES}, {len(found) for found in told})
-        self.assertEqual(80, len(set.union(*told)))
+        answers = [set(lookup.addresses(LookupQuery("a.example", SIERRA, z))) for z in zones]
+        self.assertEqual({defaults.MAX_LOOKUP_ADDRESSES}, {len(found) for found in answers})
+        self.assertEqual(80, len(set.union(*answers)))
 
     def test_regions_of_the_routes_go_before_others(self) -> None:
         far = make_record("far", zone=ZoneId("loja"), region=RegionId("austro"))
@@ -452,15 +452,15 @@
             others = [record.entry_id for record in entry.members.alive_records()]
             self._relay(entry.members.own_record.entry_id, entry.exchange.news(), others)
 
-    def _relay(self, sender: str, news: GossipMessage, names: t.Sequence[str]) -> None:
+    def _relay(self, sender: str, message: GossipMessage, names: t.Sequence[str]) -> None:
         parts = min(defaults.RELAY_FANOUT, len(names))
         for number in range(parts):
             part = names[number::parts]
             while part and not self.is_reachable(sender, part[0]):
                 part = part[1:]
             if part:
-                self._deliver(self.entries[part[0]], news)
-                self._relay(part[0], news, part[1:])
+                self._deliver(self.entries[part[0]], message)
+                self._relay(part[0], message, part[1:])
 
     def _probe(self, entry: EntryFixture, record: EntryRecord) -> None:
         if not self.is_reachable(entry.members.own_record.entry_id, record.entry_id):
@@ -468,13 +468,13 @@
             return
         other = self.entries[record.entry_id]
         entry.members.record_probe_success(record.peer_address)
-        news = entry.exchange.news(address=record.peer_address)
-        self._deliver(other, news)
-        self._deliver(entry, other.exchange.answer(news))
+        message = entry.exchange.news(address=record.peer_address)
+        self._deliver(other, message)
+        self._deliver(entry, other.exchange.answer(message))
 
-    def _deliver(self, entry: EntryFixture, news: GossipMessage) -> None:
-        self.sent_bytes.append(len(msgspec.msgpack.encode(news)))
-        entry.exchange.take(news)
+    def _deliver(self, entry: EntryFixture, message: GossipMessage) -> None:
+        self.sent_bytes.append(len(msgspec.msgpack.encode(message)))
+        entry.exchange.take(message)
 
     def views_of_alive(self) -> t.Set[t.FrozenSet[str]]:
         """Returns the sets of entries that running ones hold alive; a single set if all agree."""
--- a/tests/traffic/test_replicated_state.py
+++ b/tests/traffic/test_replicated_state.py
@@ -293,9 +293,9 @@
         t.cast(ManualClock, one.clock).advance(60.0)
         self.assertEqual([], one.members.alive_records())
         asker, other = (one, dead) if asks else (dead, one)
-        news = asker.exchange.news(address=other.members.own_record.peer_address)
-        other.exchange.take(news)
-        asker.exchange.take(other.exchange.answer(news))
+        message = asker.exchange.news(address=other.members.own_record.peer_address)
+        other.exchange.take(message)
+        asker.exchange.take(other.exchange.answer(message))
         if not asks:
             one.exchange.take(dead.exchange.news())
         self.assertEqual(["e2"], [record.entry_id for record in one.members.alive_records()])
@@ -303,9 +303,9 @@
     def test_messages_survive_msgpack(self) -> None:
         entry = EntryFixture()
         entry.learn_state(3, "state/a", make_state(4))
-        news = entry.exchange.news(Revision(0), Revision(0))
+        message = entry.exchange.news(Revision(0), Revision(0))
         self.assertEqual(
-            news, msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=GossipMessage)
+            message, msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=GossipMessage)
         )
 
 
@@ -371,29 +371,29 @@
     def _push(self, number: int, since: Revision) -> None:
         self.push_count += 1
         self.pushed_since.append(since)
-        news = self.entries[number].exchange.news(since, Revision(0))
+        message = self.entries[number].exchange.news(since, Revision(0))
         if not self._way_s:
-            self._deliver(number, news)
+            self._deliver(number, message)
             return
-        asyncio.get_running_loop().call_later(self._way_s, self._deliver, number, news)
+        asyncio.get_running_loop().call_later(self._way_s, self._deliver, number, message)
 
-    def _deliver(self, number: int, news: GossipMessage) -> None:
+    def _deliver(self, number: int, message: GossipMessage) -> None:
         for other, receiver in enumerate(self.entries):
             if other != number and not {other, number} & self.cut_off:
-                receiver.exchange.take(news)
+                receiver.exchange.take(message)
 
     async def exchange_continuously(self, way_s: float, pause_s: float = 0.05) -> None:
         """Lets entries exchange messages continuously; each message takes ``way_s``."""
         rng = seeded_rng()
         while True:
             pairs = [rng.sample(range(len(self.entries)), 2) for _ in self.entries]
-            questions = [self.entries[asker].exchange.news() for asker, _ in pairs]
+            messages = [self.entries[asker].exchange.news() for asker, _ in pairs]
             asked_at = self.entries[0].clock.monotonic()
             await asyncio.sleep(way_s)
             answers = []
-            for (_, asked), question in zip(pairs, questions, strict=True):
-                self.entries[asked].exchange.take(question)
-                answers.append(self.entries[asked].exchange.answer(question))
+            for (_, asked), message in zip(pairs, messages, strict=True):
+                self.entries[asked].exchange.take(message)
+                answers.append(self.entries[asked].exchange.answer(message))
             await asyncio.sleep(way_s)
             for (asker, _), answer in zip(pairs, answers, strict=True):
                 self.entries[asker].exchange.take(answer, asked_at)
