--- a/src/coralfall/traffic/gossip.py
+++ b/src/coralfall/traffic/gossip.py
@@ -114,9 +114,9 @@
         self._push_timer: t.Optional[asyncio.TimerHandle] = None
         self._next_push_at = -float("inf")
         members.on_update = self._schedule_push
-        exchange.quarantine.on_news = self._schedule_push
-        exchange.reports.limits.on_news = self._schedule_push
-        exchange.reports.departures.on_news = self._schedule_push
+        exchange.quarantine.on_update = self._schedule_push
+        exchange.reports.limits.on_update = self._schedule_push
+        exchange.reports.departures.on_update = self._schedule_push
 
     async def run(self) -> None:
         try:
