--- a/src/coralfall/traffic/lookup.py
+++ b/src/coralfall/traffic/lookup.py
@@ -68,7 +68,7 @@
         if self._belief.routes is None:
             return set()
         homes: t.Set["RegionId"] = set()
-        for route in self._belief.routes.of_host(host):
+        for route in self._belief.routes.for_host(host):
             homes |= route.allowed_regions
         return homes
 
--- a/src/coralfall/traffic/steered_request.py
+++ b/src/coralfall/traffic/steered_request.py
@@ -14,7 +14,7 @@
     from .target_permits import TargetPermit
 
 
-class Send:
+class Attempt:
     """One try to send a request to a target, for the log.
 
     :param place: its place at the target.
@@ -24,11 +24,11 @@
 
     __slots__ = (
         "_met",
+        "duration_s",
         "limit_per_s",
         "not_run",
         "permit",
         "result",
-        "seconds",
         "sent",
         "target_id",
     )
@@ -55,40 +55,40 @@
         #: Whether there is evidence that the target did not run it.
         self.not_run = False
         self.result = "?"
-        self.seconds = 0.0
+        self.duration_s = 0.0
 
     def __str__(self) -> str:
-        return f"{self.target_id}:{self.result}:{self.seconds * 1000:.0f}:{self._met}"
+        return f"{self.target_id}:{self.result}:{self.duration_s * 1000:.0f}:{self._met}"
 
 
 class SteeredRequest:
     """A caller's request with its route.
 
     :param deadline: monotonic time at which it gets its final answer.
-    :param left_s: seconds for which its caller said, when it asked, that it would wait.
+    :param remaining_s: seconds for which its caller said, when it asked, that it would wait.
     :param caller: IP number that it came from.
     :param tenant: whose it is, if it has to carry a key.
-    :param regions: that it may be served in; any if empty.
+    :param allowed_regions: that it may be served in; any if empty.
     """
 
     __slots__ = (
+        "allowed_regions",
+        "attempts",
         "body",
         "caller",
         "deadline",
         "fingerprint",
-        "head",
+        "head_digest",
         "headers",
         "host",
-        "key",
-        "late",
-        "left_s",
+        "is_late",
+        "is_trial",
         "method",
-        "on_trial",
+        "object_key",
         "path",
-        "regions",
+        "remaining_s",
         "request_id",
         "route",
-        "sends",
         "service",
         "tenant",
     )
@@ -103,12 +103,12 @@
         route: "Route",
         service: "ServiceId",
         request_id: str,
-        key: bytes,
+        object_key: bytes,
         deadline: float,
-        left_s: t.Optional[float] = None,
+        remaining_s: t.Optional[float] = None,
         caller: str = "",
         tenant: "t.Optional[Tenant]" = None,
-        regions: "t.Optional[t.FrozenSet[RegionId]]" = None,
+        allowed_regions: "t.Optional[t.FrozenSet[RegionId]]" = None,
     ) -> None:
         self.method = method
         self.path = path
@@ -118,30 +118,30 @@
         self.route = route
         self.service = service
         self.request_id = request_id
-        self.key = key
+        self.object_key = object_key
         self.deadline = deadline
-        self.left_s = left_s
+        self.remaining_s = remaining_s
         self.caller = caller
         self.tenant = tenant
-        self.regions = route.allowed_regions if regions is None else regions
+        self.allowed_regions = route.allowed_regions if allowed_regions is None else allowed_regions
         #: What it is known by when it comes again, without its body and with it, once it was asked.
-        self.head: t.Optional["HeadDigest"] = None
+        self.head_digest: t.Optional["HeadDigest"] = None
         self.fingerprint: t.Optional["Fingerprint"] = None
         #: Whether its caller has waited for longer than the answer is worth most.
-        self.late = False
+        self.is_late = False
         #: Whether targets ended of one like it, and it is to show whether they still do.
-        self.on_trial = False
-        self.sends: t.List[Send] = []
+        self.is_trial = False
+        self.attempts: t.List[Attempt] = []
 
     def sent_count(self) -> int:
         """To how many targets it was sent."""
-        return sum(send.sent for send in self.sends)
+        return sum(send.sent for send in self.attempts)
 
     def may_have_run(self) -> bool:
         """Whether a target may have run it."""
-        return any(send.sent and not send.not_run for send in self.sends)
+        return any(send.sent and not send.not_run for send in self.attempts)
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether it may run more than once."""
         return self.route.kind is RequestKind.SAFE
--- a/tests/traffic/known.py
+++ b/tests/traffic/known.py
@@ -13,7 +13,7 @@
 from coralfall.process.clock import Clock, ManualClock
 from coralfall.stores.store import Row
 from coralfall.traffic.belief import Belief
-from coralfall.traffic.exchange import Exchange
+from coralfall.traffic.gossip_exchange import GossipExchange
 from coralfall.traffic.members import Members
 from coralfall.traffic.model import DesiredState, EntryRecord, Target
 from coralfall.traffic.translator import Evacuation, StateRow, Translator
@@ -68,7 +68,7 @@
         self.quarantine = Quarantine(defaults.QUARANTINE_S, self.clock)
         self.reports = TargetReports(self.clock)
         self.limits = self.reports.limits
-        self.exchange = Exchange(
+        self.exchange = GossipExchange(
             self.members, self.belief, self.quarantine, self.reports, self.clock
         )
 
--- a/tests/traffic/test_gossip.py
+++ b/tests/traffic/test_gossip.py
@@ -19,7 +19,7 @@
 from coralfall.traffic.gossip import Gossip, in_relay_order
 from coralfall.traffic.members import Members
 from coralfall.traffic.messages import News
-from coralfall.traffic.pace import pace_of
+from coralfall.traffic.poll_intervals import poll_intervals_for
 from tests.traffic.known import Known
 from tests.traffic.makers import make_record, make_settings, make_state, make_target, seeded
 from tests.traffic.test_knowledge import RowsFeed
@@ -54,8 +54,8 @@
         if address in self.silent:
             await asyncio.sleep(defaults.GOSSIP_TIMEOUT_S)
             raise PeerUnreachableError("no answer")
-        self.others[address].exchange.take(message)
-        answer = self.others[address].exchange.answer(message)
+        self.others[address].exchange.merge(message)
+        answer = self.others[address].exchange.build_reply(message)
         if answer.targets is not None and not answer.targets.since:
             self.brought_all += 1
         await asyncio.sleep(self.way_s)
@@ -136,7 +136,7 @@
             self.known.clock,
             belief.store_clock,
             seeded(),
-            pace=pace_of(2.0),
+            pace=poll_intervals_for(2.0),
             held=of_state,
             before=lambda age: None,
             changed=belief.state_changed if of_state else belief.targets_changed,
--- a/tests/traffic/test_members.py
+++ b/tests/traffic/test_members.py
@@ -436,7 +436,7 @@
         while self.pushes:
             known = self.pushes.pop()
             others = [record.entry_id for record in known.members.alive()]
-            self._relay(known.members.own.entry_id, known.exchange.news(), others)
+            self._relay(known.members.own.entry_id, known.exchange.build_update(), others)
 
     def _relay(self, sender: str, news: News, names: t.Sequence[str]) -> None:
         parts = min(defaults.RELAY_FANOUT, len(names))
@@ -454,13 +454,13 @@
             return
         other = self.known[record.entry_id]
         known.members.reached(record.peer_address)
-        news = known.exchange.news(address=record.peer_address)
+        news = known.exchange.build_update(address=record.peer_address)
         self._tell(other, news)
-        self._tell(known, other.exchange.answer(news))
+        self._tell(known, other.exchange.build_reply(news))
 
     def _tell(self, known: Known, news: News) -> None:
         self.sent.append(len(msgspec.msgpack.encode(news)))
-        known.exchange.take(news)
+        known.exchange.merge(news)
 
     def believed_alive(self) -> t.Set[t.FrozenSet[str]]:
         """What those that run hold alive, themselves included; one set if they agree."""
