--- a/src/coralfall/traffic/forwarder.py
+++ b/src/coralfall/traffic/forwarder.py
@@ -197,7 +197,7 @@
         return self._budget.take(request.service)
 
     def _has_time(self, request: SteeredRequest) -> bool:
-        return request.deadline - self._clock.monotonic() > defaults.MIN_SEND_S
+        return request.deadline - self._clock.monotonic() > defaults.MIN_SEND_TIME_LEFT_S
 
     async def _send(self, request: SteeredRequest, place: "Place") -> ServerResponse:
         """One send; the place is given back whatever happens.
@@ -261,7 +261,9 @@
                 self._pool.release(state.target, connection)
                 raise
         left = request.deadline - self._clock.monotonic()
-        objection = "late" if left < defaults.MIN_SEND_S else self._targets.objection(state)
+        objection = (
+            "late" if left < defaults.MIN_SEND_TIME_LEFT_S else self._targets.objection(state)
+        )
         if objection is not None:
             self._pool.release(state.target, connection)
             raise TargetNotRunError("not sent", reason=objection)
@@ -393,7 +395,7 @@
 
 def _quarantined() -> RefusedError:
     message = "targets ended each time that they began to run this request; it is sent to no more"
-    return RefusedError(message, defaults.QUARANTINE_COME_BACK_S, reason=QUARANTINED)
+    return RefusedError(message, defaults.QUARANTINE_RETRY_AFTER_S, reason=QUARANTINED)
 
 
 def _identity_of(request: SteeredRequest) -> t.Optional[bytes]:
--- a/src/coralfall/traffic/tenants.py
+++ b/src/coralfall/traffic/tenants.py
@@ -76,7 +76,7 @@
             return tenant
         if self._state_view.state_age_s() > self.bounds.config_s:
             message = "the key is not known here, where the desired state may be behind"
-            raise RefusedError(message, defaults.COME_BACK_S, reason=STALE_STATE)
+            raise RefusedError(message, defaults.STEER_RETRY_AFTER_S, reason=STALE_STATE)
         raise RequestError(UNKNOWN_KEY, 401, "the key belongs to no tenant")
 
 
@@ -93,4 +93,4 @@
     if common:
         return common
     message = f"no region may serve {tenant.tenant_id} on route {route.route_id}"
-    raise RefusedError(message, defaults.COME_BACK_S, reason=NO_REGION)
+    raise RefusedError(message, defaults.STEER_RETRY_AFTER_S, reason=NO_REGION)
