--- a/src/coralfall/traffic/acquisition.py
+++ b/src/coralfall/traffic/acquisition.py
@@ -1,4 +1,4 @@
-"""Acquisitions: requests that wait for a token of a limit, and the owners' answers to them."""
+"""Requests that wait for a token of a limit, and the owners' replies to them."""
 
 import asyncio
 import typing as t
@@ -11,7 +11,7 @@
 
 
 class OwnerReply(t.NamedTuple):
-    """What an owner granted, and when that came."""
+    """An owner's grant or refusal, and when it was received."""
 
     grant: "Grant"
     owner_id: "EntryId"
@@ -19,11 +19,11 @@
 
 
 class Acquisition:
-    """One request's wait for a token, asked of one owner or of several.
+    """The wait of one request for a token, which one or several owners are asked for.
 
-    :param key: names the limit.
-    :param limit: the limit as it is known here.
-    :param spare_only: whether the reserved part of the bucket stays for others.
+    :param key: key of the limit.
+    :param limit: the limit as this entry knows it.
+    :param spare_only: whether the reserved part of the bucket is left to others.
     """
 
     __slots__ = (
@@ -41,24 +41,24 @@
         self.key = key
         self.limit = limit
         self.spare_only = spare_only
-        #: Owners that were asked and have not replied.
+        #: Number of owners that were asked and have not replied yet.
         self.pending = 0
         self.granted: t.Optional[OwnerReply] = None
         self.refusals: t.List[OwnerReply] = []
-        #: Whether a reply comes too late.
+        #: Whether the wait is over, so that further replies come too late.
         self.closed = False
         self._changed = asyncio.Event()
 
     def refused_share(self) -> float:
-        """Part of all shares that those who refused have."""
+        """Returns the fraction of all shares that the refusing owners hold."""
         return sum([reply.grant.part for reply in self.refusals])
 
     def soonest_refusal(self) -> t.Optional[OwnerReply]:
-        """The refusal that promises a token the soonest."""
+        """Returns the refusal with the shortest wait for a token."""
         return min(self.refusals, key=lambda reply: reply.grant.wait_s, default=None)
 
     def add_reply(self, reply: t.Optional[OwnerReply]) -> bool:
-        """Take in a reply, or that none will come; whether a token is of use."""
+        """Records a reply, or that none will come; returns whether its token is used."""
         self._changed.set()
         if reply is None:
             return False
@@ -71,7 +71,7 @@
         return True
 
     async def wait(self, seconds: float) -> None:
-        """Wait until there is a token, all have replied, or the time is over."""
+        """Waits until a token is granted, all owners have replied, or the time is over."""
         try:
             async with asyncio.timeout(seconds):
                 while self.pending and self.granted is None:
@@ -82,7 +82,7 @@
 
 
 def distribute_grant(acquisitions: t.Sequence[Acquisition], reply: OwnerReply) -> int:
-    """Assigns granted tokens in arrival order; how many of them are of no use."""
+    """Assigns granted tokens in arrival order and returns the number of unused ones."""
     remaining = reply.grant.count
     unused = 0
     for acquisition in acquisitions:
--- a/src/coralfall/traffic/callers.py
+++ b/src/coralfall/traffic/callers.py
@@ -1,4 +1,4 @@
-"""The callers' port: takes requests in, finds their route, and sends the replies."""
+"""ASGI application for callers: matches requests to routes, forwards them and sends the replies."""
 
 import asyncio
 import typing as t
@@ -28,15 +28,15 @@
 
 
 class CallersApp:
-    """ASGI application of the callers' port.
+    """Serves the port for callers.
 
     :param names: header names.
-    :param belief: the desired state in force.
-    :param identification: tells whose requests are.
-    :param quotas: keeps tenants within their limits.
-    :param forwarder: sends requests on.
-    :param telemetry: counts them.
-    :param clock: for deadlines.
+    :param state_view: the desired state in force.
+    :param tenant_authenticator: finds the tenant of a request.
+    :param quotas: enforces the tenants' limits.
+    :param forwarder: forwards requests to targets.
+    :param telemetry: counts requests.
+    :param clock: measures deadlines.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._telemetry = telemetry
         self._clock = clock
         self._memory = MemoryAccount(defaults.MAX_BUFFERED_BYTES)
-        #: Requests being served.
+        #: Number of requests in flight.
         self.in_flight = 0
 
     async def __call__(self, scope: "Scope", receive: "Receive", send: "Send") -> None:
@@ -80,7 +80,7 @@
             if body is not None:
                 body.release()
         if body is not None and not body.ended:
-            # The caller must not send its next request behind a body that nobody reads.
+            # The rest of the body stays unread, so no further request can follow on this connection.
             reply.headers.append((b"connection", b"close"))
         self._log(scope, request, reply, started_at)
         await send(
@@ -100,7 +100,7 @@
             if not watch.caller_gone:
                 raise
             watch.uncancel()
-            raise CallerGoneError("the caller closed its connection") from None
+            raise CallerGoneError("the caller closed its connection before the reply") from None
         finally:
             watch.stop()
 
@@ -219,7 +219,7 @@
 
 
 def _fingerprint_fields(request: SteeredRequest) -> t.Dict[str, str]:
-    """What tells that it came before; only those that a target went silent under are looked at."""
+    """Returns the log fields that identify repeats; only suspected requests have a fingerprint."""
     if request.fingerprint is None:
         return {}
     return {"fingerprint": str(request.fingerprint), "caller": request.caller}
--- a/src/coralfall/traffic/connection.py
+++ b/src/coralfall/traffic/connection.py
@@ -1,8 +1,9 @@
-"""One HTTP/1.1 connection to a server: one request at a time, and evidence of what became of it.
+"""HTTP/1.1 client connection that carries one request at a time.
 
-The parser is httptools'. aiohttp's client would be the house's choice; see docs/PLATFORM.md for
-what was measured: it doubles the time that an entry needs to start, which callers wait for after
-every kill, and it takes a reset for the end of an answer without a length.
+It tells whether a failed request may have reached the server. Responses are parsed with httptools.
+aiohttp's client, which other packages use, doubles the time that an entry needs to start, during
+which callers wait after each crash, and it takes a connection reset for the regular end of a
+response without a length; see docs/PLATFORM.md.
 """
 
 import asyncio
@@ -22,13 +23,13 @@
 
 
 class BrokenResponseError(CoralfallError):
-    """The connection ended, or sent what is no answer, before the answer was whole."""
+    """The connection ended, or received invalid HTTP, before the response was complete."""
 
     code = "answer-broken"
 
 
 class ServerResponse:
-    """An answer, whole."""
+    """A complete response."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -39,7 +40,7 @@
         self.body = body
 
     def header(self, name: bytes) -> t.Optional[bytes]:
-        """Value of the first header of that name, in lower case."""
+        """Returns the first value of a header, whose name is given in lower case."""
         for field, value in self.headers:
             if field == name:
                 return value
@@ -47,9 +48,9 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection that is opened by :func:`connect`.
+    """A connection to a server; opened by :func:`connect`.
 
-    :param most: largest body of an answer in bytes.
+    :param max_body_bytes: size limit of a response's body.
     """
 
     def __init__(self, max_body_bytes: int) -> None:
@@ -57,17 +58,17 @@
         self._transport: t.Optional[asyncio.Transport] = None
         self._response_future: t.Optional[asyncio.Future[ServerResponse]] = None
         self._reusable = True
-        #: Exchanges that went well on it.
+        #: Number of successful exchanges.
         self.completed_exchanges = 0
-        #: Whether any byte came since the last request was sent.
+        #: Whether any byte was received since the last request was sent.
         self.has_received = False
-        #: Whether it ended, by the server or on the way, while an answer was due.
+        #: Whether the connection was lost while a response was pending.
         self.lost_in_exchange = False
         self._writable = asyncio.Event()
         self._writable.set()
-        #: When whoever keeps it got it, or got it back.
+        #: Monotonic time at which the owner of the connection opened it or took it back.
         self.last_used_at = 0.0
-        #: Seconds for which the server keeps it idle, if it said so.
+        #: Idle timeout of the server, if it sent a ``Keep-Alive`` header.
         self.keep_alive_s: t.Optional[float] = None
         self._bodiless = False
         self._reset_parser()
@@ -84,7 +85,7 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may be sent."""
+        """Whether another request may be sent on this connection."""
         transport = self._transport
         return self._reusable and transport is not None and not transport.is_closing()
 
@@ -95,13 +96,13 @@
         body_stream: t.Optional[t.AsyncIterator[bytes]] = None,
         bodiless: bool = False,
     ) -> ServerResponse:
-        """Send a request and wait for the whole answer; the caller bounds the time.
+        """Sends a request and returns the complete response; callers have to set a timeout.
 
-        The connection is closed unless all went well.
+        The connection is closed if the exchange fails.
 
-        :param rest: further parts of the body, sent as they come.
-        :param bodiless: whether the answer has no body, whatever its head says.
-        :raises BrokenResponseError: if no whole answer came; the request may have been run.
+        :param body_stream: chunks of the body that follow ``body``, sent as they arrive.
+        :param bodiless: whether the response has no body, whatever its head says.
+        :raises BrokenResponseError: if the response is incomplete; the request may have run.
         """
         transport = self._transport
         assert transport is not None and self._response_future is None
@@ -133,20 +134,20 @@
         assert self._transport is not None
         async for chunk in body_stream:
             if response_future.done():
-                # Answered early: the rest is due on this connection, so it can't be used again.
+                # Early response: the server still expects the rest of the body, so no request may follow.
                 self._reusable = False
                 return
             self._transport.write(chunk)
             await self._writable.wait()
 
     def partial_response(self) -> t.Optional[ServerResponse]:
-        """The head of an answer whose body did not come whole; nothing if none came."""
+        """Returns the head of an incomplete response, without its body; ``None`` if there is no head."""
         if not self._head_complete:
             return None
         return ServerResponse(self._status, self._headers, b"")
 
     def abort(self) -> None:
-        """Close at once."""
+        """Closes the connection immediately."""
         self._reusable = False
         if self._transport is not None:
             self._transport.abort()
@@ -164,7 +165,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self._response_future is None or self._response_future.done():
-            # Bytes that nobody asked for belong to no request.
+            # Bytes that arrive while no request is pending belong to no response.
             self.abort()
             return
         self.has_received = True
@@ -186,8 +187,8 @@
         return False
 
     def _was_reset(self) -> bool:
-        # A reset that arrives together with the last bytes can be read as an end; the socket
-        # still tells one from the other.
+        # A reset that arrives together with the last bytes can look like a regular end of file; the
+        # socket's pending error tells them apart.
         assert self._transport is not None
         connected: t.Optional[socket.socket] = self._transport.get_extra_info("socket")
         if connected is None:
@@ -206,7 +207,7 @@
 
     def on_message_begin(self) -> None:
         if self._response_future is None or self._response_future.done():
-            # Whatever follows an answer belongs to no request.
+            # A message that follows a complete response belongs to no request.
             self._reusable = False
             self._ignore_surplus = True
 
@@ -277,10 +278,10 @@
 
 
 async def connect(address: str, timeout_s: float, max_body_bytes: int) -> ServerConnection:
-    """Open a connection.
+    """Opens a connection to a server.
 
     :param address: ``ip:port``.
-    :raises OSError: if it can't be had; a ``TimeoutError`` if not in time.
+    :raises OSError: if the connection fails; ``TimeoutError`` if it takes too long.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
@@ -295,7 +296,7 @@
 def encode_head(
     method: str, path: str, host: str, fields: t.Iterable[t.Tuple[bytes, bytes]]
 ) -> bytes:
-    """Bytes of a request's head."""
+    """Returns the encoded request line and headers."""
     lines = [f"{method} {path} HTTP/1.1\r\nhost: {host}\r\n".encode("latin-1")]
     for name, value in fields:
         lines += [name, b": ", value, b"\r\n"]
--- a/src/coralfall/traffic/crash_detector.py
+++ b/src/coralfall/traffic/crash_detector.py
@@ -1,8 +1,8 @@
-"""Crashes: tells a target that went down under its requests from one that lost an answer.
+"""Tells a target whose process crashed during requests from one that only lost a connection.
 
-Either way a connection ends without an answer. The next connection to the target tells: where
-nothing listens any more, its process is gone, and each request that it had in hand may be why. If
-no request opens one at once, it is opened for that.
+In both cases a connection ends without a response. The next attempt to connect to the target shows
+which it was: if nothing listens any more, its process is gone, and each request that was in flight
+there may be the cause. If no request connects at once, the detector opens a connection itself.
 """
 
 import asyncio
@@ -21,44 +21,44 @@
     from .model import Target
     from .pool import ConnectAttempt, ConnectionPool
 
-#: Seconds for which a request may open the connection that tells; a second send to the same target
-#: does so at once.
+#: Seconds to wait for a request to open the next connection; a retry at the same target does so at
+#: once.
 _PASSIVE_WAIT_S = 0.03
-#: Seconds for which connections that ended with a target's process are gathered once it is known
-#: to be gone: they end within a millisecond of each other, but are read one by one.
+#: Seconds for which further interrupted requests are collected once the process is known to be gone:
+#: its connections end within a millisecond of each other, but are read one by one.
 _COLLECT_S = 0.02
-#: Seconds after a crash for which a connection that ends belongs to it, too.
+#: Seconds after a crash during which further connections that end are attributed to it.
 _SAME_CRASH_WINDOW_S = 2.0
-#: Most requests that a line names.
+#: Number of requests that a log line lists.
 _MAX_LOGGED_REQUESTS = 8
 
 
 class InterruptedRequest(msgspec.Struct, frozen=True):
-    """A request that a target had in hand as its connection ended."""
+    """A request in flight at a target whose connection ended."""
 
     fingerprint: "Fingerprint"
     caller: "CallerDigest"
 
 
 class Crash(msgspec.Struct, frozen=True):
-    """A target's process that ended, and what this entry had in hand there."""
+    """The end of a target's process, with the requests of this entry that were in flight there."""
 
     target: "Target"
     requests: t.Sequence[InterruptedRequest]
 
 
 class _Probe(t.NamedTuple):
-    """Whether anything listens at an address still."""
+    """An inquiry whether a process still listens on an address."""
 
     requested_at: float
     listening: "asyncio.Future[bool]"
 
 
 class CrashDetector:
-    """Finds out whether targets went down.
+    """Detects crashes of targets from connections that end during requests.
 
-    :param targets: what is known of them.
-    :param pool: opens connections to them.
+    :param targets: state of the targets.
+    :param pool: opens connections to targets.
     :param clock: tells the time.
     """
 
@@ -70,12 +70,12 @@
         self._crashed_at: t.Dict["TargetState", float] = {}
         self._probes: t.Dict[str, _Probe] = {}
         self._tasks: t.Set["asyncio.Task[None]"] = set()
-        #: Called with each crash.
+        #: Called for each crash.
         self.on_crash: t.Callable[[Crash], None] = lambda crash: None
         pool.on_connect_attempt = self._note_connect_attempt
 
     def note_interrupted(self, state: "TargetState", request: InterruptedRequest) -> None:
-        """Note that a connection ended with a request in hand, whose answer was not whole."""
+        """Records that a connection ended before the response to a request was complete."""
         if not self._is_unplanned(state):
             return
         if state in self._crashed_at:
@@ -89,17 +89,17 @@
             task.add_done_callback(self._tasks.discard)
 
     def drop_expired(self) -> None:
-        """Let go of crashes that nothing belongs to any more."""
+        """Drops crashes to which no further connection can be attributed."""
         since = self._clock.monotonic() - _SAME_CRASH_WINDOW_S
         self._crashed_at = {state: at for state, at in self._crashed_at.items() if at > since}
 
     def close(self) -> None:
-        """Ask no more."""
+        """Cancels all pending probes."""
         for task in self._tasks:
             task.cancel()
 
     def _is_unplanned(self, state: "TargetState") -> bool:
-        """Whether its end is no planned one, and it is no lifetime that is over."""
+        """Whether the target's end is neither planned nor that of a lifetime already replaced."""
         target = state.target
         is_listed = self._targets.by_id.get(target.target_id) is state
         return is_listed and not target.leaving
@@ -133,7 +133,7 @@
         if probe is None or probe.listening.done():
             return
         if attempt.is_listening and attempt.started_at < probe.requested_at:
-            # Perhaps it was accepted just before the target went down.
+            # The connection may have been accepted just before the process ended.
             return
         probe.listening.set_result(attempt.is_listening)
 
--- a/src/coralfall/traffic/forwarder.py
+++ b/src/coralfall/traffic/forwarder.py
@@ -1,8 +1,9 @@
-"""Forwarder: sends one request to one target after another until one answers.
+"""Forwards one request to one target after another until one of them answers it.
 
-What may follow a failed send is decided by evidence alone. Not run: no connection, the target's
-own word, or another target at its address. Anything else after the first byte may have run, and
-only a request that may run twice is sent again then, within the budget.
+Retries depend on evidence of what became of the failed attempt. A request has certainly not run if
+no connection was made, if the target says so, or if another target answered at its address. In any
+other case it may have run once its first byte was sent: then it is retried only if it is
+idempotent, and within the retry budget.
 """
 
 import asyncio
@@ -44,32 +45,31 @@
     from .wire import HeaderNames
 
 _FIRST_SERVER_ERROR = 500
-#: Result of a send on a connection that was used before and ended without a byte of an answer.
+#: Result of an attempt on a reused connection that ended before any byte of a response.
 _STALE = "stale"
-#: Reason of a request that targets end of, and that is sent to no more of them.
+#: Reason of rejecting a request that crashes targets and is therefore no longer forwarded.
 QUARANTINED = "quarantined"
-#: Reasons of sends that were given up before a byte left, as their targets want none.
+#: Reasons of attempts abandoned before a byte was sent because the target accepts no requests.
 _NOT_ACCEPTING = frozenset((WITHDRAWN, COOLDOWN))
-#: Most targets that are tried in vain to be connected for one request.
+#: Failed connects to targets after which a request is given up.
 _MAX_CONNECT_FAILURES = 4
-#: Most targets that are asked in vain for a token for one request; then those with a limit are
-#: passed over.
+#: Targets without a token after which a request skips all targets that have a limit.
 _MAX_TOKEN_REFUSALS = 3
 _REPLACED_HEADERS = HOP_BY_HOP | {b"content-length", b"host", b"expect"}
 
 
 class Forwarder:
-    """Sends requests to targets.
+    """Forwards requests to targets, with retries.
 
     :param names: header names.
     :param steering: chooses targets.
-    :param targets: what is known of them.
-    :param pool: connections to them.
-    :param budget: bounds second sends.
-    :param crashes: told of connections that end under a request.
-    :param quarantine: knows requests that targets end of.
-    :param permits: for sends to targets with a limit; told of the limits that answers name.
-    :param clock: for deadlines.
+    :param targets: state of the targets.
+    :param pool: connections to targets.
+    :param budget: bounds the number of retries.
+    :param crash_detector: is notified of connections that end during a request.
+    :param quarantine: knows the requests that crash targets.
+    :param permits: acquires tokens for attempts at targets that have a limit.
+    :param clock: measures deadlines.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         self._quarantine = quarantine
         self._permits = permits
         self._clock = clock
-        #: Reads what answers say of their targets.
+        #: Reads what responses report about their targets.
         self.report_reader = TargetReportReader(names, clock)
         self._response_check = ResponseCheck(names, self.report_reader, targets, steering)
         self._stripped_headers = _REPLACED_HEADERS | {
@@ -104,7 +104,7 @@
         }
 
     async def forward(self, request: SteeredRequest) -> Reply:
-        """The reply to a request; failures are replies too."""
+        """Forwards a request and returns the reply to its caller, also if it failed."""
         if self._is_quarantined(request) and not self._start_trial(request):
             return reply_from_error(_quarantine_error())
         self._budget.request(request.service)
@@ -138,7 +138,7 @@
             except TargetError as error:
                 failure = _more_severe(failure, error)
                 if error.fields.get("reason") == NO_SOCKETS and failed_reply is None:
-                    # Another target can't be reached either.
+                    # This entry could not connect to any other target either.
                     raise failure from error
                 if error.fields.get("reason") == LIMITED and self._has_time(request):
                     token_refusals += 1
@@ -156,7 +156,7 @@
                         return failed_reply
                     raise failure from error
                 if error.fields.get("reason") == _STALE:
-                    # The target itself is well as far as anybody knows.
+                    # Only the reused connection is known to be dead, not the target.
                     tried.discard(place.state.target.target_id)
                 retry_target = place.state if _may_retry_same_target(error, place.state) else None
                 continue
@@ -200,10 +200,10 @@
         return request.deadline - self._clock.monotonic() > defaults.MIN_SEND_TIME_LEFT_S
 
     async def _attempt(self, request: SteeredRequest, place: "Place") -> ServerResponse:
-        """One send; the place is given back whatever happens.
+        """Makes one attempt; the place is released in every case.
 
-        :raises TargetNotRunError: with evidence that the target did not run it.
-        :raises TargetUnknownError: if it may have.
+        :raises TargetNotRunError: if there is evidence that the target did not run the request.
+        :raises TargetUnknownError: if the target may have run it.
         """
         state = place.state
         restriction = self._targets.reports.restriction_of(state.target)
@@ -258,7 +258,7 @@
             state.target, request.is_idempotent, connect_timeout_s
         )
         if attempt.permit is None:
-            # The limit may have been learnt of while the connection was opened.
+            # The entry may have learnt of a limit while the connection was being opened.
             try:
                 attempt.permit = await self._take_permit(request, place)
             except BaseException:
@@ -350,13 +350,13 @@
         return request.is_trial
 
     def _suspect_of(self, request: SteeredRequest) -> "t.Optional[Fingerprint]":
-        """Its fingerprint, if one like it is suspected; bodies of others are not looked at."""
+        """Returns the request's fingerprint if its head matches a suspect; other bodies are not hashed."""
         if self._quarantine.empty or not self._quarantine.has_head(self._head_of(request)):
             return None
         return self._fingerprint_of(request)
 
     def _fingerprint_of(self, request: SteeredRequest) -> "t.Optional[Fingerprint]":
-        """What a request is known by when it comes again; nothing if its body is not held whole."""
+        """Returns the hash that identifies repeats of a request; ``None`` if its body is not buffered."""
         if request.fingerprint is None:
             body = request.body.whole if request.body is not None else b""
             if body is None:
@@ -407,7 +407,7 @@
 
 
 def _credentials_of(request: SteeredRequest) -> t.Optional[bytes]:
-    """What a target is told of who asks."""
+    """Returns what tells a target who the caller is: the tenant's id or the credentials."""
     if request.tenant is not None:
         return request.tenant.tenant_id.encode()
     for field, value in request.headers:
@@ -423,13 +423,13 @@
 
 
 def _may_retry_same_target(error: CoralfallError, state: "TargetState") -> bool:
-    """Whether the target that a send failed at may well serve the request the next time."""
+    """Whether the target of a failed attempt may well serve the request on a second one."""
     rejected = str(error.fields.get("reason", "")).startswith(REJECTED_PREFIX)
     return rejected and state.sheds_at_random()
 
 
 def _more_severe(first: t.Optional[CoralfallError], second: CoralfallError) -> CoralfallError:
-    """The failure to report: one send that may have run makes the whole request so."""
+    """Returns the failure to report: if one attempt may have run, so may the request as a whole."""
     if isinstance(first, TargetUnknownError):
         return second if isinstance(second, TargetUnknownError) else first
     return second
--- a/src/coralfall/traffic/gossip_exchange.py
+++ b/src/coralfall/traffic/gossip_exchange.py
@@ -1,4 +1,8 @@
-"""Exchange: what an entry tells another one, and what it does with what it is told."""
+"""Builds gossip messages from what this entry knows, and merges those of other entries.
+
+Gossip carries membership, rows of the store, suspected requests, targets' limits and departures.
+Checksums and revisions tell two entries whether they differ; only then is the full data sent.
+"""
 
 import typing as t
 
@@ -17,17 +21,17 @@
     from .replica import Replica
     from .state_view import StateView
 
-#: Entries for which one more time of patience passes before all of them are asked for.
+#: The delay before all members are requested grows by its base value for each this many entries.
 _MEMBERS_PER_DELAY = 20
 
 
 class GossipExchange:
-    """What an entry tells others, and what it does with what they tell.
+    """Builds outgoing gossip messages and merges incoming ones.
 
-    :param members: the entries.
-    :param belief: the rows.
-    :param quarantine: requests that targets end of.
-    :param reports: what targets say of themselves.
+    :param members: the entries of the fleet.
+    :param state_view: the rows of the store.
+    :param quarantine: requests that crash targets.
+    :param reports: what targets report about themselves.
     :param clock: tells the time.
     """
 
@@ -40,14 +44,14 @@
         clock: "Clock",
     ) -> None:
         self._members = members
-        #: The rows.
+        #: The rows of the store.
         self.state_view = state_view
-        #: Requests that targets end of.
+        #: Requests that crash targets.
         self.quarantine = quarantine
-        #: What targets say of themselves.
+        #: What targets report about themselves.
         self.reports = reports
         self._clock = clock
-        #: Since when what is known of the entries differs from what others know.
+        #: Monotonic time since which this entry's membership checksum has differed from that of others.
         self._mismatch_since: t.Optional[float] = None
         members.on_pause = self._request_all_members
 
@@ -62,14 +66,14 @@
         limits: "t.Optional[t.Tuple[NamedLimit, ...]]" = None,
         departures: "t.Optional[t.Tuple[Lifetime, ...]]" = None,
     ) -> GossipMessage:
-        """What is known here, with what came after the revisions given.
-
-        :param all_members: whether to tell of all entries, and not only what is news.
-        :param address: of the entry that this is for; it is told if it is suspected.
-        :param suspects: the suspected requests to tell of, in place of those that are news.
-        :param limits: the targets' limits to tell of, in place of those that are news.
-        :param departures: the lifetimes that leave to tell of, in place of those that are news.
-        :param wants_rows: whether it is to answer with the rows that are not known here.
+        """Returns a message with recent updates, and the rows that changed after the given revisions.
+
+        :param all_members: whether to include all entries rather than recent updates only.
+        :param address: address of the receiver, which is told if it is suspected itself.
+        :param suspects: suspected requests to include instead of the recent ones.
+        :param limits: targets' limits to include instead of the recent ones.
+        :param departures: lifetimes of departing targets to include instead of the recent ones.
+        :param wants_rows: whether the receiver is to reply with rows that this entry lacks.
         """
         now = self._clock.monotonic()
         state_view = self.state_view
@@ -97,7 +101,7 @@
         )
 
     def build_reply(self, message: GossipMessage) -> GossipMessage:
-        """What the sender of ``message`` does not know."""
+        """Returns what the sender of ``message`` lacks."""
         address = message.records[0].peer_address if message.records else ""
         reports = self.reports
         known: t.Dict[str, t.Any] = {"all_members": message.wants_all, "address": address}
@@ -112,9 +116,9 @@
         return self.build_update(message.state_revision, message.targets_revision, **known)
 
     def merge(self, message: GossipMessage, asked_at: t.Optional[float] = None) -> bool:
-        """Take in news; whether the sender knows more still.
+        """Merges a message and returns whether its sender still has newer rows.
 
-        :param asked_at: monotonic time at which the question was sent, if this is an answer.
+        :param asked_at: monotonic time at which the request was sent, if this is its reply.
         """
         state_view = self.state_view
         self._merge_members(message, asked_at is not None)
@@ -139,7 +143,7 @@
     def _merge_members(self, message: GossipMessage, answered: bool) -> None:
         members = self._members
         members.merge_records(message.records)
-        # The first answer after a start names all entries that the other one knows.
+        # The first reply after a start lists all entries that the sender knows.
         members.has_discovered_peers |= answered and any(
             record.ready for record in message.records[:1]
         )
@@ -153,9 +157,9 @@
         self._mismatch_since = -float("inf")
 
     def _wants_all(self, now: float) -> bool:
-        """Whether others know more entries, as at a start, or have gone on knowing other things.
+        """Whether to request all members: at a start, or after a lasting checksum mismatch.
 
-        The latter counts once it has lasted for longer than news take to spread.
+        A mismatch counts once it has lasted for longer than updates take to spread.
         """
         if not self._members.alive_records():
             return True
--- a/src/coralfall/traffic/leases.py
+++ b/src/coralfall/traffic/leases.py
@@ -1,7 +1,7 @@
-"""Leases: to which owner this entry leases its share of each slot, and until when.
+"""Keeps track of the owner to which this entry leases its share of each slot, and until when.
 
-A share goes to another owner only once the one before can't use it any more: its lease is over, or
-its process has ended, or it said that it gave it up.
+A share is leased to another owner only once the previous lessee can't use it any more: its lease
+has expired, its process has ended, or it has reported that it gave the lease up.
 """
 
 import typing as t
@@ -24,10 +24,10 @@
 
 
 class Leases:
-    """The leases of one entry's shares.
+    """The leases that one entry grants on its shares.
 
-    :param members: the entries, which share each limit alike.
-    :param ledger: uses shares that stay here.
+    :param members: the entries, which have equal shares of each limit.
+    :param ledger: uses the shares that this entry leases to itself.
     :param clock: tells the time.
     """
 
@@ -38,38 +38,39 @@
         self._by_slot: t.Dict["Slot", _Lease] = {}
 
     def share(self) -> float:
-        """This entry's part of each limit; nothing before it knows how many share them.
+        """Returns this entry's fraction of each limit; zero before it knows the size of the fleet.
 
-        Entries that are gone count until they are forgotten: they may be cut off and use theirs.
+        Unreachable entries count until they are forgotten: they may only be partitioned from this
+        one, and use their shares.
         """
         return 1.0 / self._members.fleet_size() if self._members.has_discovered_peers else 0.0
 
     def duration_s(self) -> float:
-        """How long a lease lasts; longer in large fleets, so that owners are told as often."""
+        """Returns the duration of a lease; longer in large fleets, so that owners get as many messages."""
         scale = self._members.fleet_size() / defaults.QUOTA_BASE_ENTRIES
         return defaults.QUOTA_LEASE_S * max(1.0, scale)
 
     def can_lease_to(self, slot: "Slot", owner_id: "EntryId") -> bool:
-        """Whether a slot's share may be leased to an owner: nobody else can use it any more."""
+        """Whether a slot's share may be leased to an owner, as no other can use it any more."""
         lease = self._by_slot.get(slot)
         if lease is None or lease.lessee in (None, owner_id):
             return True
         return self._clock.monotonic() >= lease.until
 
     def is_leased_to(self, slot: "Slot", owner_id: "EntryId") -> bool:
-        """Whether an owner was the last to get a slot's share."""
+        """Whether an owner is the last lessee of a slot's share."""
         lease = self._by_slot.get(slot)
         return lease is not None and lease.lessee == owner_id
 
     def lease(self, slots: "t.Iterable[Slot]", owner_id: "EntryId", until: float) -> None:
-        """Note that an owner may use the shares of these slots until then."""
+        """Records that an owner may use the shares of these slots until then."""
         for slot in slots:
             lease = self._by_slot.setdefault(slot, _Lease())
             lease.lessee = owner_id
             lease.until = max(lease.until, until)
 
     def lease_to_self(self, slots: "t.Iterable[Slot]") -> None:
-        """Use the own shares of these slots here, as far as nobody else can."""
+        """Leases the shares of these slots to this entry itself, unless another owner can use them."""
         own_id = self._members.own_record.entry_id
         share = self.share()
         if not share:
@@ -83,12 +84,12 @@
         self._ledger.lend(own_id, free, share, self.duration_s())
 
     def release(self, owner_id: "EntryId") -> None:
-        """Note that an owner can use nothing any more."""
+        """Records that an owner can't use any share any more."""
         for lease in self._by_slot.values():
             if lease.lessee == owner_id:
                 lease.until = -float("inf")
 
     def holds_lease(self, owner_id: "EntryId") -> bool:
-        """Whether an owner may still use what this entry leased to it."""
+        """Whether an owner may still use any share that this entry leased to it."""
         now = self._clock.monotonic()
         return any(one.lessee == owner_id and now < one.until for one in self._by_slot.values())
--- a/src/coralfall/traffic/owners.py
+++ b/src/coralfall/traffic/owners.py
@@ -1,8 +1,8 @@
-"""Owners: the entries that count for limits, as one entry finds them without agreement.
+"""Chooses the owners of limits: the entries that grant tokens. No consensus is needed.
 
-Each region has a few, those with the widest links; rendezvous hashing picks one of them for each
-slot. Two entries that see different fleets find different owners, which costs tokens but breaks no
-limit: see :mod:`..placement.ledger`.
+Each region has a few, the entries with the highest bandwidth; rendezvous hashing picks one of them
+for each slot. Two entries with different views of the fleet choose different owners, which loses
+tokens but exceeds no limit; see :mod:`..placement.ledger`.
 """
 
 import typing as t
@@ -19,41 +19,41 @@
     from .members import Members
     from .model import EntryRecord
 
-#: Owners without an answer from which on an entry that nobody answers counts for itself.
+#: Unresponsive owners from which on an entry that gets no reply at all becomes its own owner.
 _ISOLATION_THRESHOLD = 2
-#: How many entries of a region count for limits, if it has so many.
+#: Least number of owners in a region, if it has that many entries.
 _MIN_OWNERS = 2
 
 _IdsByRegion = t.Dict["RegionId", t.List["EntryId"]]
 
 
 class Owner:
-    """What an entry knows of one that counts for limits.
+    """State of another entry that owns limits, as seen from this one.
 
-    :param record: its record.
+    :param record: the owner's membership record.
     """
 
     def __init__(self, record: "EntryRecord") -> None:
         self.entry_id = record.entry_id
         self.address = record.peer_address
-        #: Whether a conversation with it is under way.
+        #: Whether an exchange with it is in progress.
         self.busy = False
-        #: Requests in a row without a reply.
+        #: Number of consecutive requests without a reply.
         self.failures = 0
-        #: Whether it is no owner until it replies again, and when to find out.
+        #: Whether it is not used as an owner until it replies again, and when to probe it.
         self.is_unresponsive = False
         self.avoid_until = -float("inf")
-        #: When its last reply came, what its clock showed in it, and the lifetime that sent it.
+        #: Time of its last reply, the reading of its clock in that reply, and the lifetime that sent it.
         self.last_reply_at = -float("inf")
         self.reply_clock_s = 0.0
         self.incarnation: t.Optional["Incarnation"] = None
 
 
 class Owners:
-    """The owners of each slot, and which of them reply.
+    """The owners of each slot, and whether they respond.
 
-    :param members: the entries.
-    :param has_lease: tells whether an owner still holds leases of this entry, so that it is kept.
+    :param members: the entries of the fleet.
+    :param has_lease: tells whether an owner still holds leases of this entry; such owners are kept.
     :param clock: tells the time.
     """
 
@@ -65,14 +65,14 @@
         self._clock = clock
         self.by_id: t.Dict["EntryId", Owner] = {}
         self._ids_by_slot: t.Dict["Slot", t.Sequence["EntryId"]] = {}
-        #: What the owners follow from, and the owners.
+        #: The inputs of the choice, and its result.
         self._serving: "t.Sequence[EntryRecord]" = ()
         self._unresponsive: t.FrozenSet["EntryId"] = frozenset()
         self._isolated = False
         self._owners_by_region: _IdsByRegion = {}
 
     def for_slot(self, slot: "Slot") -> "t.Sequence[EntryId]":
-        """Who counts for the limits of a slot; the first is the one that this entry leases to."""
+        """Returns the owners of a slot; this entry leases its share to the first of them."""
         self.refresh()
         ids = self._ids_by_slot.get(slot)
         if ids is None:
@@ -81,7 +81,7 @@
         return ids
 
     def refresh(self) -> None:
-        """Recompute the owners if other entries serve, or others of them give no reply."""
+        """Recomputes the owners if the serving or the unresponsive entries have changed."""
         serving = self._members.serving_records()
         silent = frozenset(
             [owner.entry_id for owner in self.by_id.values() if owner.is_unresponsive]
@@ -108,10 +108,10 @@
     def note_reply(
         self, owner: Owner, now_s: float, incarnation: "Incarnation", closed: bool
     ) -> None:
-        """Take in that an owner replied.
+        """Records a reply of an owner.
 
-        :param now_s: what its clock showed.
-        :param closed: whether it counts for nobody any more.
+        :param now_s: reading of its clock.
+        :param closed: whether it grants no tokens any more.
         """
         owner.last_reply_at = self._clock.monotonic()
         owner.reply_clock_s = now_s
@@ -122,7 +122,7 @@
             owner.avoid_until = owner.last_reply_at + defaults.QUOTA_OWNER_COOLDOWN_S
 
     def note_failure(self, owner: Owner, error: "PeerError") -> bool:
-        """Take in that an owner gave no reply; whether its process has ended."""
+        """Records that an owner did not reply, and returns whether its process has ended."""
         owner.failures += 1
         process_ended = isinstance(error.__cause__, ConnectionRefusedError)
         if process_ended or owner.failures > 1:
@@ -138,12 +138,12 @@
         return process_ended
 
     def _has_recent_reply(self) -> bool:
-        """Whether any owner replied lately."""
+        """Whether any owner has replied recently."""
         since = self._clock.monotonic() - defaults.QUOTA_OWNER_COOLDOWN_S
         return any(owner.last_reply_at > since for owner in self.by_id.values())
 
     def _drop_stale(self, serving: "t.Sequence[EntryRecord]") -> None:
-        """Forget owners that serve no more, or serve at another address."""
+        """Drops owners that no longer serve or whose address has changed."""
         addresses = {record.entry_id: record.peer_address for record in serving}
         for entry_id, owner in list(self.by_id.items()):
             if addresses.get(entry_id) == owner.address or owner.busy:
@@ -152,7 +152,7 @@
                 del self.by_id[entry_id]
 
     def _choose_owners(self, serving: "t.Sequence[EntryRecord]") -> _IdsByRegion:
-        """The entries of each region that count, those with wide links first."""
+        """Returns the owners of each region, which are the entries with the highest bandwidth."""
         by_region: t.Dict["RegionId", t.List["EntryRecord"]] = {}
         for record in sorted(serving, key=read_order_key):
             by_region.setdefault(record.region, []).append(record)
@@ -167,15 +167,15 @@
 
 
 def _owners_for(slot: "Slot", by_region: _IdsByRegion, own: "EntryRecord") -> "t.List[EntryId]":
-    """The owners of a slot, one in each region, in the order in which an entry asks them.
+    """Returns the owners of a slot, one in each region, in the order in which an entry asks them.
 
-    The slot's region comes first, or else the entry's own: it is near, and a cut between regions
-    leaves it in reach.
+    The slot's region comes first; without one, the entry's own, since it is near and stays reachable
+    when regions are partitioned from each other.
     """
     regions = _region_order(slot, by_region, own)
     if len(regions) > 1:
         return [_rank_by_hash(slot, by_region[region])[0] for region in regions]
-    # Half of the entries lease to one and half to another, so that not all is lost with one.
+    # Half of the entries lease to each of two owners, so that the loss of one costs half at most.
     owners = [one for region in regions for one in _rank_by_hash(slot, by_region[region])]
     owners = owners[:_MIN_OWNERS]
     offset = rendezvous_hash(f"lend {slot.number}", own.entry_id)[0] % max(1, len(owners))
@@ -184,7 +184,7 @@
 
 def _region_order(slot: "Slot", by_region: _IdsByRegion, own: "EntryRecord") -> "t.List[RegionId]":
     first = own.region if slot.region is None else slot.region
-    # All entries take the other regions in one order if they have to agree on the first.
+    # If the slot has a region, all entries agree on the order of the other regions, too.
     name = f"{own.entry_id} {slot.number}" if slot.region is None else f"{slot.number}"
     regions = sorted(by_region, key=lambda region: rendezvous_hash(name, region))
     regions.sort(key=lambda region: region != first)
--- a/src/coralfall/traffic/permits.py
+++ b/src/coralfall/traffic/permits.py
@@ -1,8 +1,9 @@
-"""Permits: acquires tokens from the owners of limits, and grants them as an owner.
+"""Acquires tokens from the owners of limits, and grants tokens to other entries as an owner.
 
-How shares of a limit are leased is in :mod:`..placement.ledger`. Here is the protocol between
-entries. Permit requests that wait for one owner go in one message, and the next one leaves when
-its reply is there, so a limit that many requests need costs no more messages than round trips.
+The limits are distributed token buckets whose shares are leased to owners; see
+:mod:`..placement.ledger`. This module has the protocol between entries. Token requests to the same
+owner are batched: one message is in flight at a time, so a limit that many requests need costs no
+more messages than round trips.
 """
 
 import abc
@@ -30,9 +31,9 @@
 
 
 class LimitSource(abc.ABC):
-    """Limits of one kind that all entries keep together.
+    """Source of limits of one kind that apply to all entries together.
 
-    Write your own by telling which limits there are::
+    Subclasses tell which limits there are::
 
         class OneLimit(LimitSource):
             def slots(self):
@@ -44,22 +45,22 @@
 
     @abc.abstractmethod
     def slots(self) -> "t.Collection[Slot]":
-        """Slots whose shares have to be leased, as limits in them are in force."""
+        """Returns the slots that contain limits in force, whose shares have to be leased."""
 
     @abc.abstractmethod
     def limit_of(self, key: "LimitKey") -> "t.Optional[Limit]":
-        """A limit as it is known here; nothing if it is not."""
+        """Returns a limit as this entry knows it; ``None`` if it is unknown."""
 
 
 class _UnusedTokens(t.NamedTuple):
-    """Tokens that were granted and whose requests were not sent."""
+    """Granted tokens whose requests were not sent."""
 
     limit: "Limit"
     tokens: int
 
 
 class _OwnerQueue:
-    """What waits to be sent to one owner."""
+    """Token requests and unused tokens to be sent to one owner."""
 
     def __init__(self) -> None:
         self.waiting: t.List[Acquisition] = []
@@ -71,11 +72,11 @@
 
 
 class Permits(Child):
-    """Keeps all entries together within limits.
+    """Enforces limits over all entries together.
 
-    :param members: the entries.
-    :param links: streams to the owners, used for nothing else.
-    :param ledger: what others leased to this entry.
+    :param members: the entries of the fleet.
+    :param links: streams to the owners, used for permits only.
+    :param ledger: the shares that other entries lease to this one.
     :param clock: tells the time.
     """
 
@@ -90,7 +91,7 @@
         self._clock = clock
         self._leases = Leases(members, ledger, clock)
         self.owners = Owners(members, self._leases.holds_lease, clock)
-        #: The limits; set once, before the start.
+        #: Sources of limits; set once, before the start.
         self.sources: t.List[LimitSource] = []
         self._queues: t.Dict["EntryId", _OwnerQueue] = {}
         self._tasks: t.Set["asyncio.Task[None]"] = set()
@@ -116,11 +117,11 @@
         quorum_share: float = float("inf"),
         spare_only: bool = False,
     ) -> Acquisition:
-        """Acquire a token, trying owners in their order with hedged requests.
+        """Tries to acquire a token from the owners in their order, with hedged requests.
 
-        :param until: monotonic time after which nothing is waited for.
-        :param quorum_share: part of all shares whose owners' refusals are final.
-        :param spare_only: whether the reserved part of the bucket stays for others.
+        :param until: monotonic time at which waiting ends.
+        :param quorum_share: fraction of all shares whose owners' refusals are conclusive.
+        :param spare_only: whether the reserved part of the bucket is left to others.
         """
         acquisition = Acquisition(key, limit, spare_only)
         try:
@@ -139,14 +140,14 @@
         return acquisition
 
     def return_token(self, key: "LimitKey", limit: "Limit", owner_id: "EntryId") -> None:
-        """Return a token to its owner: its request was not sent."""
+        """Returns a token to its owner, as its request was not sent."""
         if owner_id == self._members.own_record.entry_id:
             self._ledger.give_back(key, 1)
         elif owner_id in self.owners.by_id:
             self._queue_of(owner_id).add_unused(key, limit, 1)
 
     def handle_request(self, peer: "Hello", request: PermitRequest) -> PermitReply:
-        """Grant what another entry asks, and use what it leases."""
+        """Grants tokens to another entry and accepts the shares that it leases."""
         now = self._clock.monotonic()
         own = self._members.own_record
         closed = own.state is EntryState.LEAVING
@@ -208,7 +209,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _drain_queue(self, owner: "Owner") -> None:
-        """Ask an owner until nothing waits for it."""
+        """Exchanges messages with an owner until its queue is empty."""
         queue = self._queue_of(owner.entry_id)
         try:
             await self._exchange(owner, queue)
@@ -264,7 +265,7 @@
         )
 
     def _leasable_slots(self, owner_id: "EntryId") -> "t.List[Slot]":
-        """Slots that an owner counts for, and whose shares nobody else can use any more."""
+        """Returns the slots whose shares this entry may lease to an owner."""
         found = []
         for slot in self._slots_in_force():
             if owner_id in self.owners.for_slot(slot)[:1] and self._leases.can_lease_to(
@@ -275,7 +276,7 @@
 
     def _note_reply(self, owner: "Owner", reply: PermitReply, incarnation: "Incarnation") -> None:
         if owner.incarnation not in (None, incarnation):
-            # The process that shares were leased to has ended.
+            # The process that held the leases has ended.
             self._release(owner)
         self.owners.note_reply(owner, reply.now_s, incarnation, reply.closed)
         if reply.closed:
@@ -286,7 +287,7 @@
         self._leases.release(owner.entry_id)
 
     def _renew_leases(self, slots: "t.Collection[Slot]") -> None:
-        """Ask owners that were not asked for a while, so that shares stay leased to them."""
+        """Starts exchanges with owners whose leases need renewal, and probes unresponsive ones."""
         self.owners.refresh()
         for entry_id in self._queues.keys() - self.owners.by_id.keys():
             del self._queues[entry_id]
@@ -303,15 +304,16 @@
         for owner in list(self.owners.by_id.values()):
             if owner.is_unresponsive:
                 if now >= owner.avoid_until:
-                    # Whether it replies again is found out here, and by no request.
+                    # Probed here, so that no caller's request has to wait for it.
                     self._start_exchange(owner)
             elif self._queue_of(owner.entry_id).unused or self._is_due(owner, due_before, needed):
                 self._start_exchange(owner)
 
     def _is_due(self, owner: "Owner", due_before: float, needed: "t.Collection[EntryId]") -> bool:
-        """Whether an owner was not asked for a while, or may be leased more.
+        """Whether an owner's leases need renewal, or more slots can be leased to it.
 
-        One that counts no more is asked as well: if it leaves, it gives back at once what it has.
+        An entry that is no owner any more but holds leases is asked as well: if it is leaving, its
+        reply ends these leases at once.
         """
         entry_id = owner.entry_id
         if owner.last_reply_at <= due_before:
--- a/src/coralfall/traffic/poll_intervals.py
+++ b/src/coralfall/traffic/poll_intervals.py
@@ -1,33 +1,33 @@
-"""Pace: how often rows are read, so that what they say is in force in time.
+"""Intervals at which rows are read from the store, so that changes come into force in time.
 
-The pauses in :mod:`coralfall.defaults` are made for a bound of two seconds, of which they use 1.4
-in the worst case. A tighter bound shortens all of them alike. A looser one lengthens none: what
-is known sooner serves callers better, and slow links need the rest.
+The intervals in :mod:`coralfall.defaults` fit a bound of two seconds, of which they use 1.4 in the
+worst case. A tighter bound scales all of them down alike. A looser one does not lengthen them: early
+knowledge serves callers better, and slow links need the time that is left.
 """
 
 import typing as t
 
 from .. import defaults
 
-#: Least part of the usual pauses. Without it a bound of 2 ms, which no store can keep, costs 2,000
-#: reads a second, and 21 with it (12 entries on virtual time, a store that answers at once).
+#: Lower bound of the scale. Without it, a bound of 2 ms, which no store can meet, would cause 2,000
+#: reads per second instead of 21 (12 entries, virtual time, a store that answers at once).
 _MIN_SCALE = 0.1
 
 
 class PollIntervals(t.NamedTuple):
-    """Ages of knowledge, in seconds, at which it is read anew."""
+    """Ages at which an entry reads the rows again."""
 
-    #: For the entry that reads for all.
+    #: For the entry that reads on behalf of all.
     interval_s: float
-    #: For the first of the others, what each next one adds, and the most that is added.
+    #: For the next entry by rank, the increment for each further rank, and its upper bound.
     stale_s: float
     rank_s: float
     max_rank_s: float
 
     def due_age_s(self, rank: int, held: bool) -> float:
-        """The age at which an entry of this rank reads.
+        """Returns the age at which an entry of a rank reads the rows.
 
-        :param held: whether the store holds a read of the first in rank for an interval.
+        :param held: whether the store holds a read of the first entry for an interval (long polling).
         """
         if not rank:
             return 0.0 if held else self.interval_s
@@ -35,7 +35,7 @@
 
 
 def poll_intervals_for(bound_s: float) -> PollIntervals:
-    """The pace for a bound on the time from the store's word until it is in force."""
+    """Returns the intervals for a bound on the time from a change in the store until it is in force."""
     scale = min(1.0, max(_MIN_SCALE, bound_s / defaults.PACE_REFERENCE_BOUND_S))
     return PollIntervals(
         defaults.STORE_READ_INTERVAL_S * scale,
--- a/src/coralfall/traffic/pool.py
+++ b/src/coralfall/traffic/pool.py
@@ -1,4 +1,8 @@
-"""Connections to targets: kept ones for requests that may run twice, new ones for all others."""
+"""Pool of connections to targets.
+
+Idempotent requests reuse idle connections; all others get new ones. For targets far away, the new
+connection of the next request is opened in advance.
+"""
 
 import asyncio
 import errno
@@ -12,60 +16,61 @@
     from ..process.clock import Clock
     from .model import Target
 
-#: Largest answer of a target that is passed on, in bytes.
+#: Size limit of a target's response body.
 _MAX_ANSWER_BYTES = 64 * 1024 * 1024
 _MAX_IDLE_PER_TARGET = 8
-#: Seconds that opening a connection takes from which on it is opened ahead: a trip to another
-#: region, which a request that may run once would wait for twice.
+#: Connect time from which on connections to a target are opened in advance: a round trip to another
+#: region, which a request that is not idempotent would otherwise wait for twice.
 _DISTANT_CONNECT_S = 0.005
-#: Seconds for which one that was opened ahead is used, well below the time after which targets
-#: close idle connections, and how many there are at the most.
+#: Age up to which a connection opened in advance is used, well below the time after which targets
+#: close idle connections, and the largest number of such connections.
 _PRECONNECT_MAX_AGE_S = 2.5
 _MAX_PRECONNECTED = 128
-#: Reason of a send that this entry could open no connection for.
+#: Reason of an attempt for which this entry ran out of sockets or file descriptors.
 NO_SOCKETS = "no-files"
 _LOCAL_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL))
 
 
 class ConnectAttempt(t.NamedTuple):
-    """What a try to open a connection says of its address."""
+    """Outcome of an attempt to connect to an address."""
 
     address: str
-    #: When it began.
+    #: Monotonic time at which it began.
     started_at: float
-    #: Whether anything listens there.
+    #: Whether a process listens on the address.
     is_listening: bool
 
 
 class ConnectionPool:
-    """Opens connections to targets and keeps some of them for a while.
+    """Opens connections to targets and keeps some of them for reuse.
 
-    A connection that carried a request is used again for requests that may run twice alone: its
-    target may close it just then. One that was opened ahead and carried none is as good as new.
+    A connection that has carried a request is reused for idempotent requests only, since its target
+    may close it at the same moment. A connection that was opened in advance and has carried none is
+    as good as a new one.
 
-    :param clock: tells how long a connection was idle, and goes on while the VM is suspended:
-        targets close what is idle meanwhile.
+    :param clock: measures idle times. It must go on while the VM is suspended, as targets close idle
+        connections in the meantime.
     """
 
     def __init__(self, clock: "Clock") -> None:
         self._clock = clock
         self._idle: t.Dict[str, t.List[ServerConnection]] = {}
-        #: Connections to distant targets that were opened ahead, by address.
+        #: Connections to distant targets that were opened in advance, by address.
         self._preconnected: t.Dict[str, ServerConnection] = {}
         self._pending_preconnects: t.Dict[str, "asyncio.Task[None]"] = {}
         self._requested_at: t.Dict[str, float] = {}
-        #: Connections opened so far, and those of them that were opened ahead.
+        #: Connections opened so far, and the number of them that were opened in advance.
         self.opened_count = 0
         self.preconnected_count = 0
-        #: Called when a connection was opened or refused.
+        #: Called when a connection was established or refused.
         self.on_connect_attempt: t.Callable[[ConnectAttempt], None] = lambda attempt: None
 
     async def acquire(self, target: "Target", reusable: bool, timeout_s: float) -> ServerConnection:
-        """A connection to a target.
+        """Returns a connection to a target.
 
-        :param kept: whether one that was used before will do.
-        :param seconds: how long opening one may take.
-        :raises TargetNotRunError: if none can be had.
+        :param reusable: whether a connection that has carried a request may be reused.
+        :param timeout_s: time limit for opening a new one.
+        :raises TargetNotRunError: if no connection can be made.
         """
         if reusable:
             connection = self._acquire_idle(target.address)
@@ -89,7 +94,7 @@
             connection = await connect(address, timeout_s, _MAX_ANSWER_BYTES)
         except (OSError, asyncio.TimeoutError) as error:
             if isinstance(error, OSError) and error.errno in _LOCAL_ERRNOS:
-                # The target has no part in it.
+                # The cause is on this entry, not at the target.
                 message = f"this entry can open no more connections: {error}"
                 raise TargetNotRunError(message, reason=NO_SOCKETS) from error
             message = f"target can't be connected: {error or type(error).__name__}"
@@ -102,15 +107,15 @@
         return connection
 
     async def probe(self, target: "Target", timeout_s: float) -> None:
-        """Open a new connection to a target and close it, to see whether it listens.
+        """Opens and closes a new connection, to find out whether a target listens.
 
-        :raises TargetNotRunError: if none can be had.
+        :raises TargetNotRunError: if no connection can be made.
         """
         connection = await self._open(target.address, timeout_s)
         connection.abort()
 
     def _preconnect(self, target: "Target") -> None:
-        """Open the connection of the next request, if one is likely before it is too old."""
+        """Opens a connection in advance if the next request is likely to come before it is too old."""
         address = target.address
         requested_at = self._requested_at.get(address, -float("inf"))
         self._requested_at[address] = self._clock.monotonic()
@@ -129,7 +134,7 @@
         try:
             connection = await self._open(address, defaults.TARGET_CONNECT_S)
         except TargetNotRunError:
-            # Nobody waits for it; the next request opens its own, and tells what it meets.
+            # No request waits for it. The next one opens its own connection and reports the error.
             return
         finally:
             self._pending_preconnects.pop(address, None)
@@ -146,7 +151,7 @@
         return False
 
     def release(self, target: "Target", connection: ServerConnection) -> None:
-        """Take back a connection after a whole answer."""
+        """Takes back a connection after a complete response."""
         if not connection.is_reusable:
             return
         connection.last_used_at = self._clock.monotonic()
@@ -156,7 +161,7 @@
             idle.pop(0).abort()
 
     def discard_connections(self, target: "Target") -> None:
-        """Close the idle connections to a target; one of them was found dead."""
+        """Closes all idle connections to a target, for example after one was found dead."""
         for connection in self._idle.pop(target.address, ()):
             connection.abort()
         preconnected = self._preconnected.pop(target.address, None)
@@ -164,7 +169,7 @@
             preconnected.abort()
 
     def close_expired(self) -> None:
-        """Close those that were idle for too long."""
+        """Closes connections that have been idle for too long."""
         now = self._clock.monotonic()
         for address, connection in list(self._preconnected.items()):
             if not self._is_fresh(connection):
@@ -185,7 +190,7 @@
                 del self._idle[address]
 
     def close(self) -> None:
-        """Close all that are idle."""
+        """Closes all idle connections and cancels those being opened."""
         for idle in self._idle.values():
             for connection in idle:
                 connection.abort()
--- a/src/coralfall/traffic/quotas.py
+++ b/src/coralfall/traffic/quotas.py
@@ -1,4 +1,8 @@
-"""Quotas: holds each tenant's requests to its limit, by permits of those who count for it."""
+"""Enforces the tenants' rate limits over all entries together.
+
+Each request needs a token of its tenant's distributed token bucket; see
+:mod:`..placement.ledger`.
+"""
 
 import asyncio
 import typing as t
@@ -20,28 +24,28 @@
     from .settings import BoundSettings
     from .state_view import StateView
 
-#: Reason of a request beyond its tenant's limit, and of one for which no owner could be asked.
+#: Reasons of a request beyond its tenant's limit, and of one for which too few owners replied.
 OVER_LIMIT = "over-limit"
 NO_OWNER = "no-quota-owner"
-#: Part of all shares that owners must have whose refusal says that a tenant is over its limit.
+#: Fraction of all shares that refusing owners must hold to prove that a tenant is over its limit.
 _QUORUM_SHARE = 0.5
 
 _SLOTS = tuple([Slot(number) for number in range(SLOTS)])
 
 
 class _Backoff(t.NamedTuple):
-    """A tenant that is over its limit, for which nothing is asked until then."""
+    """The refusal of a tenant over its limit, for which no owner is asked until then."""
 
     until: float
     reply: "OwnerReply"
 
 
 class Quotas(LimitSource):
-    """Keeps all entries together within the tenants' limits.
+    """Enforces the tenants' limits over all entries together.
 
     :param permits: acquires tokens.
-    :param belief: the tenants and their limits.
-    :param bounds: what the users hold the system to.
+    :param state_view: the tenants and their limits.
+    :param bounds: configured bounds of the system's behaviour.
     :param clock: tells the time.
     """
 
@@ -64,11 +68,11 @@
         return None if tenant is None else limit_of(tenant, self.bounds)
 
     async def acquire(self, tenant: "t.Optional[Tenant]") -> "t.Optional[EntryId]":
-        """Wait for a permit to send one request of a tenant.
+        """Acquires a token for one request of a tenant.
 
-        :return: the owner that gave it, if it was needed.
+        :return: the owner that granted it; ``None`` if no token is needed.
         :raises OverLimitError: if the tenant is over its limit.
-        :raises RefusedError: if those who count for it could not be asked.
+        :raises RefusedError: if the owners of the limit could not be asked.
         """
         if tenant is None:
             return None
@@ -87,26 +91,26 @@
         raise _over_limit(tenant, reply, reply.received_at)
 
     def return_token(self, tenant: "t.Optional[Tenant]", owner_id: "t.Optional[EntryId]") -> None:
-        """Return the permit of a request that did not run."""
+        """Returns the token of a request that did not run to its owner."""
         if tenant is None or owner_id is None:
             return
         limit = limit_of(tenant, self.bounds)
         self._permits.return_token(key_of(tenant.tenant_id), limit, owner_id)
 
     def drop_expired(self) -> None:
-        """Drops backoffs that are over."""
+        """Drops backoffs that have ended."""
         now = self._clock.monotonic()
         self._backoffs = {
             name: backoff for name, backoff in self._backoffs.items() if now < backoff.until
         }
 
     async def _acquire_token(self, tenant: "Tenant", limit: "Limit", until: float) -> "OwnerReply":
-        """Ask the owners until one of them grants a token.
+        """Asks the owners until one grants a token or the refusals are conclusive.
 
-        Where those that refuse have few of the shares, as after a start of all entries or in a cut,
-        the tenant may well be within its limit: they are asked again for a while.
+        If the owners that refuse hold few of the shares, as after a restart of all entries or in a
+        network partition, the tenant may well be within its limit, so they are asked again.
 
-        :raises RefusedError: if they still have few shares then.
+        :raises RefusedError: if they still hold too few shares when the time is over.
         """
         key = key_of(tenant.tenant_id)
         while True:
@@ -121,7 +125,7 @@
 
 
 def _final_reply(acquisition: "Acquisition") -> "t.Optional[OwnerReply]":
-    """A grant, or a refusal by those who know."""
+    """Returns a grant, or the refusal of owners that hold enough shares; ``None`` if undecided."""
     if acquisition.granted is not None:
         return acquisition.granted
     if acquisition.refused_share() < _QUORUM_SHARE:
--- a/src/coralfall/traffic/reply.py
+++ b/src/coralfall/traffic/reply.py
@@ -1,4 +1,4 @@
-"""Replies: what a caller is answered, by a target or by the entry itself."""
+"""Replies to callers, made from a target's response or from an error of the entry."""
 
 import typing as t
 
@@ -20,26 +20,26 @@
     from .connection import Headers, ServerResponse
 
 _STRIPPED_HEADERS = HOP_BY_HOP | {b"content-length", b"date"}
-#: Seconds after which a caller may come back if nothing else is known.
+#: ``Retry-After`` in seconds if the error names none.
 _RETRY_AFTER_S = 0.1
 _NO_BODY_STATUSES = frozenset((204, 304))
 
 
 class Reply(msgspec.Struct):
-    """A whole answer to a caller."""
+    """A complete reply to a caller."""
 
     status: int
     headers: "Headers"
     body: bytes
     outcome: Outcome
-    #: Why, in a word, for logs and metrics.
+    #: Short code of the reason, for logs and metrics.
     reason: str
-    #: What was known that decided it, for logs; empty if the reason says it all.
+    #: Data that the decision was based on, for logs; empty if the reason suffices.
     detail: str = ""
 
 
 def reply_from_response(response: "ServerResponse", bodiless: bool) -> Reply:
-    """What a caller gets of a target's answer: all of it but what concerns one connection."""
+    """Returns a target's response as a reply, without the hop-by-hop headers."""
     connection_options: t.Set[bytes] = set()
     for name, value in response.headers:
         if name == b"connection":
@@ -56,9 +56,10 @@
 
 
 def reply_from_error(error: CoralfallError) -> Reply:
-    """What a caller is told of a request that no target answered.
+    """Returns the reply to a request that no target answered.
 
-    429 and 503 promise that the request was not run and never will be; 502 and 504 promise nothing.
+    The statuses 429 and 503 guarantee that the request did not run and never will; 502 and 504
+    guarantee nothing.
     """
     status, outcome = _status_of(error)
     body = msgspec.json.encode({"code": error.code, "message": error.message})
--- a/src/coralfall/traffic/response_check.py
+++ b/src/coralfall/traffic/response_check.py
@@ -1,4 +1,8 @@
-"""Answer checks: what an answer proves of its request, and what it reports of its target."""
+"""Checks of targets' responses before they are passed on to callers.
+
+A check finds out what a response proves about its request, and records what it reports about its
+target.
+"""
 
 import typing as t
 
@@ -12,7 +16,7 @@
     from .target_report_reader import TargetReportReader
     from .wire import HeaderNames
 
-#: First part of the result of a send that the target rejected.
+#: Prefix of the result of an attempt that the target rejected with proof that it did not run.
 REJECTED_PREFIX = "shed-"
 _MISDIRECTED = 421
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
@@ -20,12 +24,12 @@
 
 
 class ResponseCheck:
-    """Checks answers before they are passed on.
+    """Checks responses before they are passed on.
 
     :param names: header names.
-    :param reader: reads what an answer says of its target.
-    :param targets: told of that.
-    :param steering: tells when a caller may come back.
+    :param reader: reads what a response reports about its target.
+    :param targets: records these reports.
+    :param steering: tells when a rejected caller may retry.
     """
 
     def __init__(
@@ -47,11 +51,11 @@
         state: "TargetState",
         sent_at: float,
     ) -> None:
-        """Takes in an answer's report, and checks that it may be passed on.
+        """Records a response's report and checks that the response may be passed on.
 
         :param sent_at: monotonic time at which the request was sent.
         :raises TargetNotRunError: if it proves that the target did not run the request.
-        :raises TargetUnknownError: if it is not the answer to the request, or not to be believed.
+        :raises TargetUnknownError: if it belongs to another request or can't be trusted.
         """
         names = self._names
         echoed_id = response.header(names.request_id)
@@ -59,7 +63,7 @@
             self.note_restrictions(response, state)
             raise TargetUnknownError("answer to another request", reason="mixed")
         if response.status == _MISDIRECTED:
-            # What it says is said of another target.
+            # The response reports about the other target, so its report is not recorded.
             self._targets.drop(state)
             raise TargetNotRunError("another target is at the address", reason="misdirected")
         self._targets.reports.note(state, self._reader.read(response, state.target), sent_at)
@@ -76,7 +80,7 @@
             raise TargetUnknownError("answer is not signed", reason="unsigned")
 
     def note_restrictions(self, response: "ServerResponse", state: "TargetState") -> None:
-        """Takes in the restrictions that an answer names which is not passed on."""
+        """Records only the restrictions that a response reports, as it is not passed on."""
         if response.status == _MISDIRECTED:
             return
         report = self._reader.read(response, state.target).restrictions()
--- a/src/coralfall/traffic/routes.py
+++ b/src/coralfall/traffic/routes.py
@@ -1,4 +1,4 @@
-"""Routes: finds the rules of a request by its host and the longest prefix of its path."""
+"""Finds the route of a request by its host and the longest matching prefix of its path."""
 
 import typing as t
 
@@ -9,9 +9,10 @@
 
 
 class _HostRoutes:
-    """The routes of one host, by prefix; a look tries each length that a prefix has once.
+    """The routes of one host, in a hash table by prefix.
 
-    So a look takes as long with many routes as with few.
+    A look-up probes the table once for each distinct length of a prefix, so its time does not depend
+    on the number of routes.
     """
 
     def __init__(self) -> None:
@@ -20,7 +21,7 @@
         self._lengths: t.List[int] = []
 
     def add(self, route: Route) -> None:
-        """Take in a route; of two with one prefix the first counts."""
+        """Adds a route; of several with the same prefix, the first applies."""
         self.all_routes.append(route)
         self._by_prefix.setdefault(route.prefix, route)
         length = len(route.prefix)
@@ -29,7 +30,7 @@
             self._lengths.sort(reverse=True)
 
     def find(self, path: str) -> t.Optional[Route]:
-        """The route with the longest prefix that begins ``path``."""
+        """Returns the route with the longest prefix of ``path``; ``None`` if there is none."""
         for length in self._lengths:
             route = self._by_prefix.get(path[:length])
             if route is not None:
@@ -38,7 +39,7 @@
 
 
 class RouteTable:
-    """The routes of one desired state, ready to be searched.
+    """Index of the routes of one desired state.
 
     :param state: the desired state.
     """
@@ -53,15 +54,15 @@
             self._by_host[name].add(route)
 
     def find(self, host: str, path: str) -> t.Optional[Route]:
-        """The route with the longest prefix that begins ``path``, or ``None``.
+        """Returns the host's route with the longest prefix of ``path``; ``None`` if there is none.
 
-        :param host: value of the host header, with or without a port.
+        :param host: value of the ``Host`` header, with or without a port.
         """
         name = host.partition(":")[0].lower()
         routes = self._by_host.get(name)
         return routes.find(path) if routes is not None else None
 
     def for_host(self, host: str) -> t.Sequence[Route]:
-        """All routes of a host."""
+        """Returns all routes of a host."""
         routes = self._by_host.get(host.partition(":")[0].lower())
         return routes.all_routes if routes is not None else ()
--- a/src/coralfall/traffic/steered_request.py
+++ b/src/coralfall/traffic/steered_request.py
@@ -1,4 +1,4 @@
-"""A caller's request with its route, and what became of each try to send it to a target."""
+"""A caller's request with its route, and the outcome of each attempt to forward it to a target."""
 
 import typing as t
 
@@ -15,11 +15,11 @@
 
 
 class Attempt:
-    """One try to send a request to a target, for the log.
+    """One attempt to forward a request to a target, as recorded for the log.
 
-    :param place: its place at the target.
-    :param limit_per_s: limit that the target had named.
-    :param restriction: why the target wants no request by its own word, if it does not.
+    :param place: the place at the target that the request takes.
+    :param limit_per_s: rate limit that the target had reported.
+    :param restriction: reason for which the target reported that it accepts no requests, if any.
     """
 
     __slots__ = (
@@ -40,19 +40,19 @@
         self.target_id = target.target_id
         known = "known" if place.known else "new"
         distance = "near" if place.near else "far"
-        #: What the request meets, as far as known here: load and slots, object, region.
+        #: What was known of the target: load and slots, whether it knows the object, region.
         self._context = f"{place.load:.1f}/{target.slots}:{known}:{distance}"
-        #: Limit that the target had named, in requests a second over all entries.
+        #: Limit that the target had reported, in requests per second over all entries.
         self.limit_per_s = limit_per_s
         if limit_per_s is not None:
             self._context += f":{limit_per_s:g}/s"
         if restriction:
             self._context += f":{restriction}"
-        #: Token of the target's limit, if the send needed one.
+        #: Token of the target's limit, if the attempt needed one.
         self.permit: t.Optional["TargetPermit"] = None
-        #: Whether a byte may have left.
+        #: Whether a byte may have been sent.
         self.sent = False
-        #: Whether there is evidence that the target did not run it.
+        #: Whether there is evidence that the target did not run the request.
         self.not_run = False
         self.result = "?"
         self.duration_s = 0.0
@@ -64,11 +64,12 @@
 class SteeredRequest:
     """A caller's request with its route.
 
-    :param deadline: monotonic time at which it gets its final answer.
-    :param remaining_s: seconds for which its caller said, when it asked, that it would wait.
-    :param caller: IP number that it came from.
-    :param tenant: whose it is, if it has to carry a key.
-    :param allowed_regions: that it may be served in; any if empty.
+    :param object_key: key of the object that the request concerns, by which its target is chosen.
+    :param deadline: monotonic time by which the caller gets its reply.
+    :param remaining_s: seconds that the caller, on sending the request, was willing to wait.
+    :param caller: IP address of the caller.
+    :param tenant: tenant of the request, if it has to carry a key.
+    :param allowed_regions: regions that may serve the request; any if empty.
     """
 
     __slots__ = (
@@ -124,24 +125,24 @@
         self.caller = caller
         self.tenant = tenant
         self.allowed_regions = route.allowed_regions if allowed_regions is None else allowed_regions
-        #: What it is known by when it comes again, without its body and with it, once it was asked.
+        #: Hashes that identify repeats of the request, without and with its body; computed on demand.
         self.head_digest: t.Optional["HeadDigest"] = None
         self.fingerprint: t.Optional["Fingerprint"] = None
-        #: Whether its caller has waited for longer than the answer is worth most.
+        #: Whether the request arrived so late that its reply has lost most of its value.
         self.is_late = False
-        #: Whether targets ended of one like it, and it is to show whether they still do.
+        #: Whether it is a trial of a quarantined request, to find out whether it still crashes targets.
         self.is_trial = False
         self.attempts: t.List[Attempt] = []
 
     def sent_count(self) -> int:
-        """To how many targets it was sent."""
+        """Returns the number of attempts that sent the request."""
         return sum(send.sent for send in self.attempts)
 
     def may_have_run(self) -> bool:
-        """Whether a target may have run it."""
+        """Whether a target may have run the request."""
         return any(send.sent and not send.not_run for send in self.attempts)
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.route.kind is RequestKind.SAFE
--- a/src/coralfall/traffic/target_permits.py
+++ b/src/coralfall/traffic/target_permits.py
@@ -1,8 +1,9 @@
-"""Target permits: holds all entries together to the limits that targets name.
+"""Enforces the rate limits that targets report, over all entries together.
 
-Each send to a target with a limit needs a token of its bucket, see :mod:`..placement.ledger`. The
-owner in the target's region grants them, so that whoever can reach the target can most likely
-reach the owner too. Nobody waits for a token: a target without one is passed over.
+Each attempt at a target with a limit needs a token of its distributed token bucket; see
+:mod:`..placement.ledger`. Tokens are granted by the owner in the target's region, so that an entry
+that can reach the target can most likely reach the owner, too. Requests don't wait for tokens: a
+target that has none is skipped.
 """
 
 import typing as t
@@ -27,16 +28,16 @@
     from .permits import Permits
     from .settings import SteerSettings
 
-#: Reason of a send that its target's limit has no token for.
+#: Reason of an attempt for which the target's limit has no token.
 LIMITED = "limited"
-#: Part of all shares that owners must have whose refusal says that a limit has no token.
+#: Fraction of all shares that refusing owners must hold to prove that a limit has no token.
 _QUORUM_SHARE = 0.5
-#: Seconds for which a target is passed over if those who have the shares could not be asked.
+#: Seconds for which a target is skipped if owners with enough shares could not be asked.
 _UNKNOWN_BACKOFF_S = 0.25
 
 
 class TargetPermit(msgspec.Struct, frozen=True):
-    """A token for one send to a target with a limit."""
+    """A token for one attempt at a target with a limit."""
 
     key: LimitKey
     limit: Limit
@@ -44,12 +45,12 @@
 
 
 class TargetPermits(LimitSource):
-    """Acquires tokens for sends to targets with a limit.
+    """Acquires tokens for attempts at targets with a limit.
 
     :param permits: acquires tokens.
-    :param limits: what targets named.
-    :param targets: the targets that there are.
-    :param settings: tell the region of each zone.
+    :param limits: the limits that targets reported.
+    :param targets: state of the targets.
+    :param settings: map zones to regions.
     :param clock: tells the time.
     """
 
@@ -62,13 +63,13 @@
         clock: "Clock",
     ) -> None:
         self._permits = permits
-        #: What targets named.
+        #: The limits that targets reported.
         self.limits = limits
         self._targets = targets
         self._settings = settings
         self._clock = clock
         self._slots: t.FrozenSet["Slot"] = frozenset()
-        #: Of the limits and the targets that the slots follow from.
+        #: Generations of the limits and of the targets from which the slots were computed.
         self._generations = (-1, -1)
 
     def slots(self) -> "t.Collection[Slot]":
@@ -84,25 +85,25 @@
         return self.limits.bucket_of(TargetId(key.name))
 
     def is_needed(self, target: "Target") -> bool:
-        """Whether a send to a target needs a token."""
+        """Whether an attempt at a target needs a token."""
         return self.limits.rate_of(target) is not None
 
     async def acquire(
         self, target: "Target", until: float, known: bool = True
     ) -> t.Optional[TargetPermit]:
-        """Acquire a token for one send; ``None`` if it needs none.
+        """Acquires a token for one attempt; returns ``None`` if it needs none.
 
-        :param known: whether the target knows the request's object.
-        :param until: monotonic time at which the request's time is over.
-        :raises TargetNotRunError: if there is none.
+        :param until: monotonic deadline of the request.
+        :param known: whether the target's cache is warm for the request's object.
+        :raises TargetNotRunError: if there is no token.
         """
         limit = self.limits.bucket_of(target.target_id)
         if limit is None or not self.is_needed(target):
             return None
         key = key_of(target.target_id, self._region_of(target))
         until = min(until, self._clock.monotonic() + defaults.QUOTA_HEDGE_DELAY_S)
-        # A target serves objects that it knows several times faster, and what it learns in their
-        # place is of no use once its tokens go to others.
+        # A target serves objects in its cache several times faster. Others only displace them, which
+        # is of no use once the target's tokens go to other requests.
         acquisition = await self._permits.acquire(
             key, limit, until, _QUORUM_SHARE, spare_only=not known
         )
@@ -114,7 +115,7 @@
         raise TargetNotRunError(message, reason=LIMITED, come_back_s=wait_s)
 
     def return_token(self, permit: t.Optional[TargetPermit]) -> None:
-        """Return the token of a request that was not sent."""
+        """Returns the token of a request that was not sent."""
         if permit is not None:
             self._permits.return_token(permit.key, permit.limit, permit.owner_id)
 
@@ -129,10 +130,10 @@
 
 
 def _backoff_s(acquisition: "Acquisition") -> float:
-    """Seconds for which to pass over a target that has no token.
+    """Returns the seconds for which a target without a token is skipped.
 
-    Owners tell each entry another time, one after the other. An entry that alone asks for a target
-    comes back before the bucket is full, lest tokens are lost.
+    Owners stagger the waits that they tell the entries. An entry that is the only one to use a
+    target has to return before the bucket is full, or tokens would be lost.
     """
     refusal = acquisition.soonest_refusal()
     if refusal is None or acquisition.refused_share() < _QUORUM_SHARE:
--- a/src/coralfall/traffic/target_report_reader.py
+++ b/src/coralfall/traffic/target_report_reader.py
@@ -1,7 +1,8 @@
-"""Answer reports: reads what a target says of itself in the head of an answer.
+"""Reads what targets report about themselves in response headers: load, limit, departure, cooldown.
 
-Only here are the headers read that tell of a target rather than of a request. A header that
-nobody reads, and that is no field of HTTP itself, is logged once: its meaning may have to be kept.
+Headers that concern a target rather than a request are read here only. A header that no module
+reads and that is not part of HTTP is logged once, since it may carry a rule that entries should
+follow.
 """
 
 import datetime
@@ -20,14 +21,13 @@
     from .model import Target
     from .wire import HeaderNames
 
-#: Statuses with which a target rejects a request and may name a cooldown.
+#: Statuses of rejections, which may name a cooldown.
 _REJECTION_STATUSES = frozenset((429, 503))
 _FIRST_SERVER_ERROR = 500
 _DECIMAL = re.compile(rb"\s*\d+(\.\d*)?\s*")
-#: Most names of headers that nobody reads that are remembered and logged.
+#: Number of unread header names that are remembered and logged.
 _MAX_UNREAD_HEADERS = 32
-#: Fields of HTTP that mean nothing to an entry beyond their way through it, or are read where the
-#: answer's framing is.
+#: HTTP headers that an entry only passes on, or that are read where responses are framed.
 _IGNORED_HEADERS = frozenset(
     (
         b"accept-ranges",
@@ -60,21 +60,21 @@
 
 
 class TargetReportReader:
-    """Reads reports from answers.
+    """Reads target reports from responses.
 
     :param names: header names.
-    :param clock: tells the time that a date is compared with.
+    :param clock: tells the time that dates are compared with.
     """
 
     def __init__(self, names: "HeaderNames", clock: "Clock") -> None:
         self._names = names
         self._clock = clock
         self._known_headers = _IGNORED_HEADERS | names.response_headers()
-        #: Names of headers of answers that nobody reads.
+        #: Names of response headers that no module reads.
         self.unread_headers: t.Set[bytes] = set()
 
     def read(self, response: "ServerResponse", target: "Target") -> TargetReport:
-        """What an answer says of its target; words that can't be read say nothing."""
+        """Returns what a response reports about its target; malformed values are ignored."""
         names = self._names
         self._log_unread(response, target)
         load = response.header(names.load)
@@ -101,7 +101,7 @@
         return seconds if math.isfinite(seconds) and seconds > 0 else None
 
     def _seconds_until(self, value: bytes, date_header: t.Optional[bytes]) -> t.Optional[float]:
-        """Seconds until an HTTP date, by the target's own clock if the answer tells it."""
+        """Returns the seconds until an HTTP date, by the target's clock if the response has a date."""
         until = _timestamp(value)
         if until is None:
             return None
@@ -127,7 +127,7 @@
 
 
 def _timestamp(value: bytes) -> t.Optional[float]:
-    """Seconds since the Unix epoch of an HTTP date, as RFC 9110 (section 5.6.7) has it."""
+    """Returns the Unix time of an HTTP date (RFC 9110, section 5.6.7); ``None`` if it is malformed."""
     try:
         date = email.utils.parsedate_to_datetime(value.decode("latin-1"))
     except (ValueError, OverflowError):
--- a/src/coralfall/traffic/tenants.py
+++ b/src/coralfall/traffic/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants: tells by its key whose a request is, and in which regions it may be served."""
+"""Finds the tenant of a request by its key, and the regions that may serve the request."""
 
 import typing as t
 
@@ -13,16 +13,16 @@
     from .state_view import StateView
     from .wire import HeaderNames
 
-#: Reason of a request whose key no tenant of the newest state has.
+#: Reason of a request whose key belongs to no tenant of the current state.
 UNKNOWN_KEY = "unknown-key"
-#: Reason of a request whose key may have been added since this entry heard of the state last.
+#: Reason of a request whose key may have been added since this entry last refreshed its state.
 STALE_STATE = "state-old"
-#: Reason of a request that no region may serve.
+#: Reason of a request that no region is allowed to serve.
 NO_REGION = "no-region"
 
 
 class TenantTable:
-    """The tenants of one desired state, ready to be searched.
+    """Index of the tenants of one desired state.
 
     :param tenants: ``None`` if requests need no keys.
     """
@@ -30,7 +30,7 @@
     def __init__(self, tenants: "t.Optional[t.Sequence[Tenant]]") -> None:
         #: Whether requests need keys.
         self.requires_keys = tenants is not None
-        #: Whether any of them has a limit.
+        #: Whether any tenant has a limit.
         self.has_limits = any(tenant.rate_per_s > 0 for tenant in tenants or ())
         self.by_id: t.Dict["TenantId", "Tenant"] = {}
         self._by_key: t.Dict[bytes, "Tenant"] = {}
@@ -39,16 +39,16 @@
             self._by_key.update(dict.fromkeys(tenant.keys, tenant))
 
     def find(self, key: bytes) -> "t.Optional[Tenant]":
-        """The tenant that a key belongs to."""
+        """Returns the tenant that a key belongs to."""
         return self._by_key.get(key)
 
 
 class TenantAuthenticator:
-    """Finds the tenant of each request.
+    """Finds the tenant of each request by its key.
 
     :param names: header names.
-    :param belief: the desired state in force.
-    :param bounds: tell for how long a state may be behind.
+    :param state_view: the desired state in force.
+    :param bounds: give the age up to which a state counts as current.
     """
 
     def __init__(
@@ -59,10 +59,10 @@
         self.bounds = bounds
 
     def authenticate(self, headers: "Headers", route: "Route") -> "t.Optional[Tenant]":
-        """Whose a request is; nobody's if it needs no key.
+        """Returns the tenant of a request; ``None`` if the request needs no key.
 
-        :raises RequestError: if it has no valid key.
-        :raises RefusedError: if it may have one that this entry has not heard of.
+        :raises RequestError: if the request has no valid key.
+        :raises RefusedError: if its key may be too new for this entry to know it.
         """
         tenants = self._state_view.tenants
         if not tenants.requires_keys or route.public:
@@ -81,9 +81,9 @@
 
 
 def allowed_regions_for(route: "Route", tenant: "t.Optional[Tenant]") -> "t.FrozenSet[RegionId]":
-    """Regions that a request may be served in, by its route and its tenant; any if empty.
+    """Returns the regions that the route and the tenant both allow; any region if empty.
 
-    :raises RefusedError: if these have no region in common.
+    :raises RefusedError: if they have no region in common.
     """
     if tenant is None or not tenant.allowed_regions:
         return route.allowed_regions
--- a/src/coralfall/traffic/wire.py
+++ b/src/coralfall/traffic/wire.py
@@ -1,4 +1,4 @@
-"""Names on the wire that the users choose: headers that the request path reads and writes."""
+"""Configurable names of the HTTP headers that the request path reads and writes, and their parsers."""
 
 import math
 import typing as t
@@ -9,35 +9,35 @@
 
 
 class HeaderNames(msgspec.Struct, frozen=True, kw_only=True):
-    """Header names, in lower case, and the name of the cookie with the object's key."""
+    """Header names in lower case, and the name of the cookie that carries the object's key."""
 
-    #: Names one attempt of a caller; targets echo it.
+    #: Id of one attempt of a caller, which targets echo.
     request_id: bytes
-    #: Milliseconds that the caller, and so the target, will wait.
+    #: Milliseconds that are left until the caller's deadline.
     time_left: bytes
-    #: Marks a whole answer of a target.
+    #: Marks a complete response of a target.
     signature: bytes
-    #: Target that must run the request; any other answers 421.
+    #: Id of the target that must run the request; any other target answers 421.
     expected_target: bytes
-    #: Target's word that it did not run the request.
+    #: Set by a target that did not run the request.
     not_run: bytes
-    #: Target's load: running, waiting, slots.
+    #: Load of a target: running requests, waiting requests, slots.
     load: bytes
-    #: Requests a second that a target takes from all entries together.
+    #: Requests per second that a target accepts from all entries together.
     limit: bytes
-    #: Target's word that its lifetime ends soon.
+    #: Set by a target that will shut down soon.
     leaving: bytes
-    #: Time for which a target that rejected a request wants no other from the entry.
+    #: Time for which a target that rejected a request accepts no other from the entry.
     retry_after: bytes
-    #: Cookie that names the object that a request concerns.
+    #: Cookie with the key of the object that a request concerns.
     affinity_cookie: bytes
-    #: Key of a caller's tenant; targets never get it.
+    #: Key of a caller's tenant; never passed on to targets.
     credential: bytes
-    #: Tenant of a request, as targets are told it; what a caller says in it counts for nothing.
+    #: Tenant of a request, set for targets; a caller's value is ignored.
     tenant: bytes
 
     def response_headers(self) -> t.FrozenSet[bytes]:
-        """Names that targets' answers bear and that are read here."""
+        """Returns the names of the headers that are read from targets' responses."""
         return frozenset(
             (
                 self.request_id,
@@ -51,7 +51,7 @@
         )
 
     def affinity_key(self, headers: t.Iterable[t.Tuple[bytes, bytes]]) -> t.Optional[bytes]:
-        """The object's key, from a caller's cookies."""
+        """Returns the object's key from a caller's cookies."""
         for name, value in headers:
             if name != b"cookie":
                 continue
@@ -63,7 +63,7 @@
 
 
 def parse_load(value: bytes) -> t.Optional[t.Tuple[int, int]]:
-    """Running and waiting requests of ``running,waiting,slots``; ``None`` if it can't be read."""
+    """Returns running and waiting requests of ``running,waiting,slots``; ``None`` if malformed."""
     parts = value.split(b",")
     try:
         return int(parts[0]), int(parts[1])
@@ -72,12 +72,12 @@
 
 
 def parse_flag(value: bytes) -> bool:
-    """Whether a flag is set; any word but an empty or a negative one sets it."""
+    """Whether a flag is set, which any value does that is neither empty nor negative."""
     return value.strip().lower() not in _FALSE_VALUES
 
 
 def parse_limit(value: bytes) -> t.Optional[float]:
-    """Requests a second of a target's limit; ``None`` if it can't be read."""
+    """Returns a target's limit in requests per second; ``None`` if it is malformed."""
     try:
         rate_per_s = float(value)
     except ValueError:
