--- a/src/coralfall/traffic/callers.py
+++ b/src/coralfall/traffic/callers.py
@@ -80,7 +80,7 @@
             if body is not None:
                 body.release()
         if body is not None and not body.ended:
-            # The rest of the body stays unread, so no further request can follow on this connection.
+            # Part of the body stays unread, so no request can follow on this connection.
             reply.headers.append((b"connection", b"close"))
         self._log(scope, request, reply, started_at)
         await send(
--- a/src/coralfall/traffic/connection.py
+++ b/src/coralfall/traffic/connection.py
@@ -134,14 +134,15 @@
         assert self._transport is not None
         async for chunk in body_stream:
             if response_future.done():
-                # Early response: the server still expects the rest of the body, so no request may follow.
+                # Early response: the server still expects the rest of the body, so no other
+                # request may follow on this connection.
                 self._reusable = False
                 return
             self._transport.write(chunk)
             await self._writable.wait()
 
     def partial_response(self) -> t.Optional[ServerResponse]:
-        """Returns the head of an incomplete response, without its body; ``None`` if there is no head."""
+        """Returns the head of an incomplete response; ``None`` if it was not received."""
         if not self._head_complete:
             return None
         return ServerResponse(self._status, self._headers, b"")
--- a/src/coralfall/traffic/crash_detector.py
+++ b/src/coralfall/traffic/crash_detector.py
@@ -24,8 +24,8 @@
 #: Seconds to wait for a request to open the next connection; a retry at the same target does so at
 #: once.
 _PASSIVE_WAIT_S = 0.03
-#: Seconds for which further interrupted requests are collected once the process is known to be gone:
-#: its connections end within a millisecond of each other, but are read one by one.
+#: Seconds for which further interrupted requests are collected once the process is known to be
+#: gone: its connections end within a millisecond of each other, but are read one by one.
 _COLLECT_S = 0.02
 #: Seconds after a crash during which further connections that end are attributed to it.
 _SAME_CRASH_WINDOW_S = 2.0
--- a/src/coralfall/traffic/forwarder.py
+++ b/src/coralfall/traffic/forwarder.py
@@ -350,13 +350,16 @@
         return request.is_trial
 
     def _suspect_of(self, request: SteeredRequest) -> "t.Optional[Fingerprint]":
-        """Returns the request's fingerprint if its head matches a suspect; other bodies are not hashed."""
+        """Returns a request's fingerprint if its head matches a suspect, else ``None``.
+
+        Bodies of other requests are not hashed.
+        """
         if self._quarantine.empty or not self._quarantine.has_head(self._head_of(request)):
             return None
         return self._fingerprint_of(request)
 
     def _fingerprint_of(self, request: SteeredRequest) -> "t.Optional[Fingerprint]":
-        """Returns the hash that identifies repeats of a request; ``None`` if its body is not buffered."""
+        """Returns the hash that identifies repeats; ``None`` if the body is not buffered whole."""
         if request.fingerprint is None:
             body = request.body.whole if request.body is not None else b""
             if body is None:
--- a/src/coralfall/traffic/gossip_exchange.py
+++ b/src/coralfall/traffic/gossip_exchange.py
@@ -51,7 +51,7 @@
         #: What targets report about themselves.
         self.reports = reports
         self._clock = clock
-        #: Monotonic time since which this entry's membership checksum has differed from that of others.
+        #: Time since which this entry's membership checksum has differed from those of others.
         self._mismatch_since: t.Optional[float] = None
         members.on_pause = self._request_all_members
 
@@ -66,7 +66,7 @@
         limits: "t.Optional[t.Tuple[NamedLimit, ...]]" = None,
         departures: "t.Optional[t.Tuple[Lifetime, ...]]" = None,
     ) -> GossipMessage:
-        """Returns a message with recent updates, and the rows that changed after the given revisions.
+        """Returns a message with recent updates and the rows changed after the given revisions.
 
         :param all_members: whether to include all entries rather than recent updates only.
         :param address: address of the receiver, which is told if it is suspected itself.
--- a/src/coralfall/traffic/leases.py
+++ b/src/coralfall/traffic/leases.py
@@ -46,7 +46,10 @@
         return 1.0 / self._members.fleet_size() if self._members.has_discovered_peers else 0.0
 
     def duration_s(self) -> float:
-        """Returns the duration of a lease; longer in large fleets, so that owners get as many messages."""
+        """Returns the duration of a lease.
+
+        It grows with the fleet, so that the rate of renewals at an owner does not.
+        """
         scale = self._members.fleet_size() / defaults.QUOTA_BASE_ENTRIES
         return defaults.QUOTA_LEASE_S * max(1.0, scale)
 
@@ -70,7 +73,7 @@
             lease.until = max(lease.until, until)
 
     def lease_to_self(self, slots: "t.Iterable[Slot]") -> None:
-        """Leases the shares of these slots to this entry itself, unless another owner can use them."""
+        """Leases the shares of these slots to this entry itself, if no other can use them."""
         own_id = self._members.own_record.entry_id
         share = self.share()
         if not share:
--- a/src/coralfall/traffic/owners.py
+++ b/src/coralfall/traffic/owners.py
@@ -43,7 +43,7 @@
         #: Whether it is not used as an owner until it replies again, and when to probe it.
         self.is_unresponsive = False
         self.avoid_until = -float("inf")
-        #: Time of its last reply, the reading of its clock in that reply, and the lifetime that sent it.
+        #: Time of its last reply, the owner's clock in that reply, and the lifetime that sent it.
         self.last_reply_at = -float("inf")
         self.reply_clock_s = 0.0
         self.incarnation: t.Optional["Incarnation"] = None
@@ -169,8 +169,8 @@
 def _owners_for(slot: "Slot", by_region: _IdsByRegion, own: "EntryRecord") -> "t.List[EntryId]":
     """Returns the owners of a slot, one in each region, in the order in which an entry asks them.
 
-    The slot's region comes first; without one, the entry's own, since it is near and stays reachable
-    when regions are partitioned from each other.
+    The slot's region comes first; without one, the entry's own, since it is near and stays
+    reachable when regions are partitioned from each other.
     """
     regions = _region_order(slot, by_region, own)
     if len(regions) > 1:
--- a/src/coralfall/traffic/poll_intervals.py
+++ b/src/coralfall/traffic/poll_intervals.py
@@ -1,8 +1,8 @@
 """Intervals at which rows are read from the store, so that changes come into force in time.
 
 The intervals in :mod:`coralfall.defaults` fit a bound of two seconds, of which they use 1.4 in the
-worst case. A tighter bound scales all of them down alike. A looser one does not lengthen them: early
-knowledge serves callers better, and slow links need the time that is left.
+worst case. A tighter bound scales all of them down alike. A looser one does not lengthen them:
+early knowledge serves callers better, and slow links need the time that is left.
 """
 
 import typing as t
@@ -27,7 +27,7 @@
     def due_age_s(self, rank: int, held: bool) -> float:
         """Returns the age at which an entry of a rank reads the rows.
 
-        :param held: whether the store holds a read of the first entry for an interval (long polling).
+        :param held: whether the store holds a read of the first entry (long polling).
         """
         if not rank:
             return 0.0 if held else self.interval_s
@@ -35,7 +35,7 @@
 
 
 def poll_intervals_for(bound_s: float) -> PollIntervals:
-    """Returns the intervals for a bound on the time from a change in the store until it is in force."""
+    """Returns the intervals for a bound on the time until a change in the store is in force."""
     scale = min(1.0, max(_MIN_SCALE, bound_s / defaults.PACE_REFERENCE_BOUND_S))
     return PollIntervals(
         defaults.STORE_READ_INTERVAL_S * scale,
--- a/src/coralfall/traffic/pool.py
+++ b/src/coralfall/traffic/pool.py
@@ -48,8 +48,8 @@
     may close it at the same moment. A connection that was opened in advance and has carried none is
     as good as a new one.
 
-    :param clock: measures idle times. It must go on while the VM is suspended, as targets close idle
-        connections in the meantime.
+    :param clock: measures idle times. It must go on while the VM is suspended, as targets close
+        idle connections in the meantime.
     """
 
     def __init__(self, clock: "Clock") -> None:
@@ -115,7 +115,7 @@
         connection.abort()
 
     def _preconnect(self, target: "Target") -> None:
-        """Opens a connection in advance if the next request is likely to come before it is too old."""
+        """Opens a connection in advance if a request is likely before it is too old."""
         address = target.address
         requested_at = self._requested_at.get(address, -float("inf"))
         self._requested_at[address] = self._clock.monotonic()
--- a/src/coralfall/traffic/routes.py
+++ b/src/coralfall/traffic/routes.py
@@ -11,8 +11,8 @@
 class _HostRoutes:
     """The routes of one host, in a hash table by prefix.
 
-    A look-up probes the table once for each distinct length of a prefix, so its time does not depend
-    on the number of routes.
+    A look-up probes the table once for each distinct length of a prefix, so its time does not
+    depend on the number of routes.
     """
 
     def __init__(self) -> None:
--- a/src/coralfall/traffic/steered_request.py
+++ b/src/coralfall/traffic/steered_request.py
@@ -125,12 +125,12 @@
         self.caller = caller
         self.tenant = tenant
         self.allowed_regions = route.allowed_regions if allowed_regions is None else allowed_regions
-        #: Hashes that identify repeats of the request, without and with its body; computed on demand.
+        #: Hashes that identify repeats, without and with the body; computed on demand.
         self.head_digest: t.Optional["HeadDigest"] = None
         self.fingerprint: t.Optional["Fingerprint"] = None
-        #: Whether the request arrived so late that its reply has lost most of its value.
+        #: Whether its caller has already waited beyond the time at which a reply is worth most.
         self.is_late = False
-        #: Whether it is a trial of a quarantined request, to find out whether it still crashes targets.
+        #: Whether it tries out if a quarantined request still crashes targets.
         self.is_trial = False
         self.attempts: t.List[Attempt] = []
 
--- a/src/coralfall/traffic/target_permits.py
+++ b/src/coralfall/traffic/target_permits.py
@@ -102,8 +102,8 @@
             return None
         key = key_of(target.target_id, self._region_of(target))
         until = min(until, self._clock.monotonic() + defaults.QUOTA_HEDGE_DELAY_S)
-        # A target serves objects in its cache several times faster. Others only displace them, which
-        # is of no use once the target's tokens go to other requests.
+        # A target serves the objects in its cache several times faster, and caching others in
+        # their place is of no use once the target's tokens go to other requests.
         acquisition = await self._permits.acquire(
             key, limit, until, _QUORUM_SHARE, spare_only=not known
         )
--- a/src/coralfall/traffic/target_report_reader.py
+++ b/src/coralfall/traffic/target_report_reader.py
@@ -101,7 +101,7 @@
         return seconds if math.isfinite(seconds) and seconds > 0 else None
 
     def _seconds_until(self, value: bytes, date_header: t.Optional[bytes]) -> t.Optional[float]:
-        """Returns the seconds until an HTTP date, by the target's clock if the response has a date."""
+        """Returns the seconds until an HTTP date, by the target's clock if its date is known."""
         until = _timestamp(value)
         if until is None:
             return None
@@ -127,7 +127,7 @@
 
 
 def _timestamp(value: bytes) -> t.Optional[float]:
-    """Returns the Unix time of an HTTP date (RFC 9110, section 5.6.7); ``None`` if it is malformed."""
+    """Returns the Unix time of an HTTP date (RFC 9110, 5.6.7); ``None`` if malformed."""
     try:
         date = email.utils.parsedate_to_datetime(value.decode("latin-1"))
     except (ValueError, OverflowError):
--- a/src/coralfall/traffic/wire.py
+++ b/src/coralfall/traffic/wire.py
@@ -1,4 +1,4 @@
-"""Configurable names of the HTTP headers that the request path reads and writes, and their parsers."""
+"""Configurable names of the headers that the request path reads and writes, and parsers."""
 
 import math
 import typing as t
