--- a/tests/traffic/test_forwarder.py
+++ b/tests/traffic/test_forwarder.py
@@ -117,7 +117,7 @@
             place.release()
             if place.state.target.target_id == target_id:
                 return key
-        raise AssertionError(f"no key is assigned to {target_id} first")
+        raise AssertionError("no key is assigned to the target first")
 
     async def forward(self, request: SteeredRequest) -> Reply:
         if request.body is not None:
--- a/tests/traffic/test_pool.py
+++ b/tests/traffic/test_pool.py
@@ -31,7 +31,7 @@
 
 class SuspensionTest(unittest.TestCase):
     def opened(self, kind: str, requests: int, suspended_s: float) -> t.Tuple[int, int]:
-        """Returns how many connections a request after a suspension opens at once and in advance."""
+        """Returns how many connections a request opens after a suspension: at once, in advance."""
 
         async def main() -> t.Tuple[int, int]:
             clock = SuspendedClock()
