--- a/src/coralfall/traffic/acquisition.py
+++ b/src/coralfall/traffic/acquisition.py
@@ -19,7 +19,7 @@
 
 
 class Acquisition:
-    """The wait of one request for a token, which one or several owners are asked for.
+    """One request's wait for a token, for which one or several owners are asked.
 
     :param key: key of the limit.
     :param limit: the limit as this entry knows it.
--- a/src/coralfall/traffic/forwarder.py
+++ b/src/coralfall/traffic/forwarder.py
@@ -51,7 +51,7 @@
 QUARANTINED = "quarantined"
 #: Reasons of attempts abandoned before a byte was sent because the target accepts no requests.
 _NOT_ACCEPTING = frozenset((WITHDRAWN, COOLDOWN))
-#: Failed connects to targets after which a request is given up.
+#: Failed connects of one request from which on another attempt needs the retry budget.
 _MAX_CONNECT_FAILURES = 4
 #: Targets without a token after which a request skips all targets that have a limit.
 _MAX_TOKEN_REFUSALS = 3
@@ -316,9 +316,9 @@
         try:
             return await connection.exchange(head, body, body_stream, bodiless)
         except BaseException:
-            part = connection.partial_response()
-            if part is not None:
-                self._response_check.note_restrictions(part, state)
+            partial = connection.partial_response()
+            if partial is not None:
+                self._response_check.note_restrictions(partial, state)
             raise
 
     async def _take_permit(
@@ -327,10 +327,10 @@
         return await self._permits.acquire(place.state.target, request.deadline, place.known)
 
     def _note_interrupted(self, request: SteeredRequest, state: "TargetState") -> None:
-        found = self._fingerprint_of(request)
-        if found is not None:
+        request_fingerprint = self._fingerprint_of(request)
+        if request_fingerprint is not None:
             self._crash_detector.note_interrupted(
-                state, InterruptedRequest(found, caller_digest(request.caller))
+                state, InterruptedRequest(request_fingerprint, caller_digest(request.caller))
             )
 
     def _note_response(self, request: SteeredRequest, response: ServerResponse) -> None:
@@ -426,7 +426,7 @@
 
 
 def _may_retry_same_target(error: CoralfallError, state: "TargetState") -> bool:
-    """Whether the target of a failed attempt may well serve the request on a second one."""
+    """Whether the target of a failed attempt may well serve the request at a second attempt."""
     rejected = str(error.fields.get("reason", "")).startswith(REJECTED_PREFIX)
     return rejected and state.sheds_at_random()
 
--- a/src/coralfall/traffic/permits.py
+++ b/src/coralfall/traffic/permits.py
@@ -266,13 +266,13 @@
 
     def _leasable_slots(self, owner_id: "EntryId") -> "t.List[Slot]":
         """Returns the slots whose shares this entry may lease to an owner."""
-        found = []
+        leasable = []
         for slot in self._slots_in_force():
             if owner_id in self.owners.for_slot(slot)[:1] and self._leases.can_lease_to(
                 slot, owner_id
             ):
-                found.append(slot)
-        return found
+                leasable.append(slot)
+        return leasable
 
     def _note_reply(self, owner: "Owner", reply: PermitReply, incarnation: "Incarnation") -> None:
         if owner.incarnation not in (None, incarnation):
--- a/src/coralfall/traffic/steered_request.py
+++ b/src/coralfall/traffic/steered_request.py
@@ -130,7 +130,7 @@
         self.fingerprint: t.Optional["Fingerprint"] = None
         #: Whether its caller has already waited beyond the time at which a reply is worth most.
         self.is_late = False
-        #: Whether it tries out if a quarantined request still crashes targets.
+        #: Whether it is the trial that shows if a quarantined request still crashes targets.
         self.is_trial = False
         self.attempts: t.List[Attempt] = []
 
--- a/src/coralfall/traffic/tenants.py
+++ b/src/coralfall/traffic/tenants.py
@@ -15,7 +15,7 @@
 
 #: Reason of a request whose key belongs to no tenant of the current state.
 UNKNOWN_KEY = "unknown-key"
-#: Reason of a request whose key may have been added since this entry last refreshed its state.
+#: Reason of a request whose key may have been added since this entry last got the state.
 STALE_STATE = "state-old"
 #: Reason of a request that no region is allowed to serve.
 NO_REGION = "no-region"
