--- a/src/coralfall/traffic/quotas.py
+++ b/src/coralfall/traffic/quotas.py
@@ -34,7 +34,7 @@
 
 
 class _Backoff(t.NamedTuple):
-    """The refusal of a tenant over its limit, which is repeated until a time without asking owners."""
+    """The refusal of a tenant over its limit, repeated until a time without asking the owners."""
 
     until: float
     reply: "OwnerReply"
