--- a/src/coralfall/traffic/forwarder.py
+++ b/src/coralfall/traffic/forwarder.py
@@ -33,11 +33,11 @@
 if t.TYPE_CHECKING:
     from ..forwarding.request import RequestBody
     from ..ids import TargetId
-    from ..placement.affinity import AffinitySteering, Place
-    from ..placement.budget import SendBudget
+    from ..placement.affinity import AffinitySteering, TargetReservation
     from ..placement.fingerprint import Fingerprint, HeadDigest
     from ..placement.quarantine import Quarantine
-    from ..placement.targets import TargetBook, TargetState
+    from ..placement.retry_budget import SharedRetryBudget
+    from ..placement.targets import TargetRegistry, TargetState
     from ..process.clock import Clock
     from .crash_detector import CrashDetector
     from .pool import ConnectionPool
@@ -76,9 +76,9 @@
         self,
         names: "HeaderNames",
         steering: "AffinitySteering",
-        targets: "TargetBook",
+        targets: "TargetRegistry",
         pool: "ConnectionPool",
-        budget: "SendBudget",
+        budget: "SharedRetryBudget",
         crash_detector: "CrashDetector",
         quarantine: "Quarantine",
         permits: "TargetPermits",
@@ -107,10 +107,10 @@
         """Forwards a request and returns the reply to its caller, also if it failed."""
         if self._is_quarantined(request) and not self._start_trial(request):
             return reply_from_error(_quarantine_error())
-        self._budget.request(request.service)
+        self._budget.record_request(request.service)
         if request.remaining_s is not None:
             admission = self._steering.admission
-            admission.note_arrival(request.route, request.remaining_s)
+            admission.record_arrival(request.route, request.remaining_s)
             request.is_late = admission.is_late(request.route, request.remaining_s)
         try:
             return await self._forward(request)
@@ -126,15 +126,15 @@
         failure: t.Optional[CoralfallError] = None
         while True:
             try:
-                place = self._choose_target(request, tried, retry_target)
+                reservation = self._choose_target(request, tried, retry_target)
                 retry_target = None
             except RefusedError as refusal:
                 if failed_reply is not None:
                     return failed_reply
                 raise _more_severe(failure, refusal)
-            tried.add(place.state.target.target_id)
+            tried.add(reservation.state.target.target_id)
             try:
-                response = await self._attempt(request, place)
+                response = await self._attempt(request, reservation)
             except TargetError as error:
                 failure = _more_severe(failure, error)
                 if error.fields.get("reason") == NO_SOCKETS and failed_reply is None:
@@ -157,8 +157,10 @@
                     raise failure from error
                 if error.fields.get("reason") == _STALE:
                     # Only the reused connection is known to be dead, not the target.
-                    tried.discard(place.state.target.target_id)
-                retry_target = place.state if _may_retry_same_target(error, place.state) else None
+                    tried.discard(reservation.state.target.target_id)
+                retry_target = (
+                    reservation.state if _may_retry_same_target(error, reservation.state) else None
+                )
                 continue
             reply = reply_from_response(response, request.method == "HEAD")
             if response.status < _FIRST_SERVER_ERROR or failed_reply is not None:
@@ -172,7 +174,7 @@
         request: SteeredRequest,
         tried: "t.Set[TargetId]",
         retry_target: "t.Optional[TargetState]",
-    ) -> "Place":
+    ) -> "TargetReservation":
         time_left_s = request.deadline - self._clock.monotonic()
         return self._steering.choose(
             request.route,
@@ -194,31 +196,33 @@
             return False
         if self._is_quarantined(request):
             return False
-        return self._budget.take(request.service)
+        return self._budget.try_spend(request.service)
 
     def _has_time(self, request: SteeredRequest) -> bool:
         return request.deadline - self._clock.monotonic() > defaults.MIN_SEND_TIME_LEFT_S
 
-    async def _attempt(self, request: SteeredRequest, place: "Place") -> ServerResponse:
+    async def _attempt(
+        self, request: SteeredRequest, reservation: "TargetReservation"
+    ) -> ServerResponse:
         """Makes one attempt; the place is released in every case.
 
         :raises TargetNotRunError: if there is evidence that the target did not run the request.
         :raises TargetUnknownError: if the target may have run it.
         """
-        state = place.state
+        state = reservation.state
         restriction = self._targets.reports.restriction_of(state.target)
-        attempt = Attempt(place, self._permits.limits.rate_of(state.target), restriction)
+        attempt = Attempt(reservation, self._permits.limits.rate_of(state.target), restriction)
         request.attempts.append(attempt)
         started_at = self._clock.monotonic()
         try:
-            attempt.permit = await self._take_permit(request, place)
+            attempt.permit = await self._take_permit(request, reservation)
             started_at = self._clock.monotonic()
-            response = await self._exchange(request, place, attempt)
+            response = await self._exchange(request, reservation, attempt)
         except TargetNotRunError as error:
             attempt.not_run = True
             attempt.result = str(error.fields.get("reason", "not-run"))
             if attempt.result == "connect":
-                state.fail(reached=False, refused=bool(error.fields.get("refused")))
+                state.record_failure(reached=False, refused=bool(error.fields.get("refused")))
             raise
         except TargetUnknownError as error:
             attempt.result = str(error.fields.get("reason", error.code))
@@ -226,8 +230,10 @@
                 raise
             unanswered_since = started_at if isinstance(error, TargetTimeoutError) else None
             if unanswered_since is not None:
-                place.note(self._clock.monotonic(), self._clock.monotonic() - started_at)
-            state.fail(reached=True, silent_since=unanswered_since)
+                reservation.record_latency(
+                    self._clock.monotonic(), self._clock.monotonic() - started_at
+                )
+            state.record_failure(reached=True, silent_since=unanswered_since)
             raise
         except asyncio.CancelledError:
             attempt.result = "cancelled"
@@ -235,20 +241,20 @@
         finally:
             attempt.duration_s = self._clock.monotonic() - started_at
             if attempt.sent:
-                place.release()
+                reservation.release()
             else:
-                place.withdraw()
+                reservation.cancel()
                 self._permits.return_token(attempt.permit)
-        state.succeed()
+        state.record_success()
         self._note_response(request, response)
-        place.answered(self._clock.monotonic(), attempt.duration_s)
+        reservation.record_answer(self._clock.monotonic(), attempt.duration_s)
         attempt.result = str(response.status)
         return response
 
     async def _exchange(
-        self, request: SteeredRequest, place: "Place", attempt: Attempt
+        self, request: SteeredRequest, reservation: "TargetReservation", attempt: Attempt
     ) -> ServerResponse:
-        state = place.state
+        state = reservation.state
         connect_timeout_s = min(
             defaults.TARGET_CONNECT_S, request.deadline - self._clock.monotonic()
         )
@@ -260,7 +266,7 @@
         if attempt.permit is None:
             # The entry may have learnt of a limit while the connection was being opened.
             try:
-                attempt.permit = await self._take_permit(request, place)
+                attempt.permit = await self._take_permit(request, reservation)
             except BaseException:
                 self._pool.release(state.target, connection)
                 raise
@@ -268,7 +274,7 @@
         objection = (
             "late"
             if time_left_s < defaults.MIN_SEND_TIME_LEFT_S
-            else self._targets.objection(state)
+            else self._targets.block_reason(state)
         )
         if objection is not None:
             self._pool.release(state.target, connection)
@@ -322,9 +328,11 @@
             raise
 
     async def _take_permit(
-        self, request: SteeredRequest, place: "Place"
+        self, request: SteeredRequest, reservation: "TargetReservation"
     ) -> "t.Optional[TargetPermit]":
-        return await self._permits.acquire(place.state.target, request.deadline, place.known)
+        return await self._permits.acquire(
+            reservation.state.target, request.deadline, reservation.known
+        )
 
     def _note_interrupted(self, request: SteeredRequest, state: "TargetState") -> None:
         request_fingerprint = self._fingerprint_of(request)
@@ -336,7 +344,7 @@
     def _note_response(self, request: SteeredRequest, response: ServerResponse) -> None:
         suspect = self._suspect_of(request)
         if suspect is not None and response.status < _FIRST_SERVER_ERROR:
-            self._quarantine.note_answer(suspect)
+            self._quarantine.record_answer(suspect)
 
     def _is_quarantined(self, request: SteeredRequest) -> bool:
         suspect = self._suspect_of(request)
@@ -346,7 +354,7 @@
 
     def _start_trial(self, request: SteeredRequest) -> bool:
         suspect = self._suspect_of(request)
-        request.is_trial = suspect is not None and self._quarantine.may_try(suspect)
+        request.is_trial = suspect is not None and self._quarantine.start_trial(suspect)
         return request.is_trial
 
     def _suspect_of(self, request: SteeredRequest) -> "t.Optional[Fingerprint]":
@@ -354,7 +362,9 @@
 
         Bodies of other requests are not hashed.
         """
-        if self._quarantine.empty or not self._quarantine.has_head(self._head_of(request)):
+        if self._quarantine.is_empty or not self._quarantine.has_suspect_head(
+            self._head_of(request)
+        ):
             return None
         return self._fingerprint_of(request)
 
--- a/src/coralfall/traffic/gossip_exchange.py
+++ b/src/coralfall/traffic/gossip_exchange.py
@@ -13,7 +13,7 @@
     from ..ids import Revision
     from ..placement.lifetime import Lifetime
     from ..placement.quarantine import Quarantine, Suspect
-    from ..placement.target_limits import NamedLimit
+    from ..placement.target_limits import ReportedLimit
     from ..placement.target_reports import TargetReports
     from ..process.clock import Clock
     from .delta import Delta
@@ -63,7 +63,7 @@
         address: str = "",
         wants_rows: bool = True,
         suspects: "t.Optional[t.Tuple[Suspect, ...]]" = None,
-        limits: "t.Optional[t.Tuple[NamedLimit, ...]]" = None,
+        limits: "t.Optional[t.Tuple[ReportedLimit, ...]]" = None,
         departures: "t.Optional[t.Tuple[Lifetime, ...]]" = None,
     ) -> GossipMessage:
         """Returns a message with recent updates and the rows changed after the given revisions.
@@ -92,12 +92,14 @@
             store_s=state_view.store_clock.latest_s(),
             state=_delta(state_view.state_rows, state_since),
             targets=_delta(state_view.target_rows, targets_since),
-            suspects=self.quarantine.recent() if suspects is None else suspects,
-            suspects_sum=self.quarantine.sum(),
-            limits=self.reports.limits.recent() if limits is None else limits,
-            limits_sum=self.reports.limits.sum(),
-            departures=self.reports.departures.recent() if departures is None else departures,
-            departures_sum=self.reports.departures.sum(),
+            suspects=self.quarantine.recent_updates() if suspects is None else suspects,
+            suspects_sum=self.quarantine.checksum(),
+            limits=self.reports.limits.recent_updates() if limits is None else limits,
+            limits_sum=self.reports.limits.checksum(),
+            departures=(
+                self.reports.departures.recent_updates() if departures is None else departures
+            ),
+            departures_sum=self.reports.departures.checksum(),
         )
 
     def build_reply(self, message: GossipMessage) -> GossipMessage:
@@ -105,12 +107,12 @@
         address = message.records[0].peer_address if message.records else ""
         reports = self.reports
         known: t.Dict[str, t.Any] = {"all_members": message.wants_all, "address": address}
-        if message.suspects_sum != self.quarantine.sum():
-            known["suspects"] = self.quarantine.all()
-        if message.limits_sum != reports.limits.sum():
-            known["limits"] = reports.limits.all()
-        if message.departures_sum != reports.departures.sum():
-            known["departures"] = reports.departures.all()
+        if message.suspects_sum != self.quarantine.checksum():
+            known["suspects"] = self.quarantine.snapshot()
+        if message.limits_sum != reports.limits.checksum():
+            known["limits"] = reports.limits.snapshot()
+        if message.departures_sum != reports.departures.checksum():
+            known["departures"] = reports.departures.snapshot()
         if not message.wants_rows:
             return self.build_update(**known)
         return self.build_update(message.state_revision, message.targets_revision, **known)
@@ -122,9 +124,9 @@
         """
         state_view = self.state_view
         self._merge_members(message, asked_at is not None)
-        self.quarantine.hear(message.suspects)
-        self.reports.limits.hear(message.limits)
-        self.reports.departures.hear(message.departures)
+        self.quarantine.merge(message.suspects)
+        self.reports.limits.merge(message.limits)
+        self.reports.departures.merge(message.departures)
         if asked_at is not None and message.store_s is not None:
             state_view.store_clock.observe(asked_at, message.store_s)
         keys = _apply(state_view.state_rows, message.state, message.state_read_s)
--- a/src/coralfall/traffic/permits.py
+++ b/src/coralfall/traffic/permits.py
@@ -1,7 +1,7 @@
 """Acquires tokens from the owners of limits, and grants tokens to other entries as an owner.
 
 The limits are distributed token buckets whose shares are leased to owners; see
-:mod:`..placement.ledger`. This module has the protocol between entries. Token requests to the same
+:mod:`..placement.buckets`. This module has the protocol between entries. Token requests to the same
 owner are batched: one message is in flight at a time, so a limit that many requests need costs no
 more messages than round trips.
 """
@@ -13,7 +13,7 @@
 from .. import defaults
 from ..exceptions import PeerError
 from ..ids import EntryState
-from ..placement.ledger import UNLIMITED, Grant, grouped, slot_of
+from ..placement.buckets import UNLIMITED, Grant, group_by_region, slot_of
 from ..process.child import Child
 from .acquisition import Acquisition, OwnerReply, distribute_grant
 from .leases import Leases
@@ -24,7 +24,7 @@
     from ..ids import EntryId, Incarnation
     from ..peering.messages import Hello
     from ..peering.peer_links import PeerLinks
-    from ..placement.ledger import Ledger, Limit, LimitKey, Slot
+    from ..placement.buckets import Limit, LimitKey, Slot, TokenBuckets
     from ..process.clock import Clock
     from .members import Members
     from .owners import Owner
@@ -83,13 +83,13 @@
     name = "permits"
 
     def __init__(
-        self, members: "Members", links: "PeerLinks", ledger: "Ledger", clock: "Clock"
+        self, members: "Members", links: "PeerLinks", buckets: "TokenBuckets", clock: "Clock"
     ) -> None:
         self._members = members
         self._links = links
-        self._ledger = ledger
+        self._buckets = buckets
         self._clock = clock
-        self._leases = Leases(members, ledger, clock)
+        self._leases = Leases(members, buckets, clock)
         self.owners = Owners(members, self._leases.holds_lease, clock)
         #: Sources of limits; set once, before the start.
         self.sources: t.List[LimitSource] = []
@@ -102,7 +102,7 @@
                 slots = self._slots_in_force()
                 if slots:
                     self._renew_leases(slots)
-                    self._ledger.tick()
+                    self._buckets.tick()
                 await asyncio.sleep(defaults.QUOTA_RENEW_INTERVAL_S)
         finally:
             for task in self._tasks:
@@ -142,7 +142,7 @@
     def return_token(self, key: "LimitKey", limit: "Limit", owner_id: "EntryId") -> None:
         """Returns a token to its owner, as its request was not sent."""
         if owner_id == self._members.own_record.entry_id:
-            self._ledger.give_back(key, 1)
+            self._buckets.return_tokens(key, 1)
         elif owner_id in self.owners.by_id:
             self._queue_of(owner_id).add_unused(key, limit, 1)
 
@@ -152,11 +152,11 @@
         own = self._members.own_record
         closed = own.state is EntryState.LEAVING
         if closed:
-            self._ledger.end(peer.entry_id)
+            self._buckets.end_leases(peer.entry_id)
         elif request.incarnation == own.incarnation and request.answered_s <= now:
             seconds = request.answered_s + request.seconds - now
             slots = [slot for group in request.slots for slot in group.slots()]
-            self._ledger.lend(peer.entry_id, slots, request.share, seconds)
+            self._buckets.add_lease(peer.entry_id, slots, request.share, seconds)
         return PermitReply(
             grants=tuple([self._grant(token_request) for token_request in request.wants]),
             now_s=now,
@@ -168,8 +168,8 @@
         if limit == UNLIMITED:
             return Grant(token_request.count, 0.0, 0.0, 1.0)
         if token_request.unused:
-            self._ledger.give_back(token_request.key, token_request.unused)
-        return self._ledger.take(
+            self._buckets.return_tokens(token_request.key, token_request.unused)
+        return self._buckets.take(
             token_request.key, limit, token_request.count, token_request.spare_only
         )
 
@@ -188,7 +188,9 @@
             slot = slot_of(acquisition.key)
             if self.owners.for_slot(slot)[0] == owner_id:
                 self._leases.lease_to_self([slot])
-            grant = self._ledger.take(acquisition.key, acquisition.limit, 1, acquisition.spare_only)
+            grant = self._buckets.take(
+                acquisition.key, acquisition.limit, 1, acquisition.spare_only
+            )
             acquisition.add_reply(OwnerReply(grant, owner_id, self._clock.monotonic()))
             return
         owner = self.owners.by_id.get(owner_id)
@@ -257,7 +259,7 @@
         self._leases.lease(slots, owner.entry_id, until)
         return PermitRequest(
             wants=wants,
-            slots=grouped(slots),
+            slots=group_by_region(slots),
             share=share,
             seconds=seconds,
             answered_s=owner.reply_clock_s,
--- a/src/coralfall/traffic/quotas.py
+++ b/src/coralfall/traffic/quotas.py
@@ -1,7 +1,7 @@
 """Enforces the tenants' rate limits over all entries together.
 
 Each request needs a token of its tenant's distributed token bucket; see
-:mod:`..placement.ledger`.
+:mod:`..placement.buckets`.
 """
 
 import asyncio
@@ -10,13 +10,13 @@
 from .. import defaults
 from ..exceptions import OverLimitError, RefusedError
 from ..ids import TenantId
-from ..placement.ledger import SLOTS, UNLIMITED, LimitKind, Slot
-from ..placement.quota import key_of, limit_of
+from ..placement.buckets import SLOT_COUNT, UNLIMITED, LimitKind, Slot
+from ..placement.tenant_limits import limit_of, tenant_limit_key
 from .permits import LimitSource
 
 if t.TYPE_CHECKING:
     from ..ids import EntryId
-    from ..placement.ledger import Limit, LimitKey
+    from ..placement.buckets import Limit, LimitKey
     from ..process.clock import Clock
     from .acquisition import Acquisition, OwnerReply
     from .model import Tenant
@@ -30,7 +30,7 @@
 #: Fraction of all shares that refusing owners must hold to prove that a tenant is over its limit.
 _QUORUM_SHARE = 0.5
 
-_SLOTS = tuple([Slot(number) for number in range(SLOTS)])
+_SLOTS = tuple([Slot(number) for number in range(SLOT_COUNT)])
 
 
 class _Backoff(t.NamedTuple):
@@ -95,7 +95,7 @@
         if tenant is None or owner_id is None:
             return
         limit = limit_of(tenant, self.bounds)
-        self._permits.return_token(key_of(tenant.tenant_id), limit, owner_id)
+        self._permits.return_token(tenant_limit_key(tenant.tenant_id), limit, owner_id)
 
     def drop_expired(self) -> None:
         """Drops backoffs that have ended."""
@@ -112,7 +112,7 @@
 
         :raises RefusedError: if they still hold too few shares when the time is over.
         """
-        key = key_of(tenant.tenant_id)
+        key = tenant_limit_key(tenant.tenant_id)
         while True:
             acquisition = await self._permits.acquire(key, limit, until)
             reply = _final_reply(acquisition)
--- a/src/coralfall/traffic/response_check.py
+++ b/src/coralfall/traffic/response_check.py
@@ -10,7 +10,7 @@
 
 if t.TYPE_CHECKING:
     from ..placement.affinity import AffinitySteering
-    from ..placement.targets import TargetBook, TargetState
+    from ..placement.targets import TargetRegistry, TargetState
     from .connection import ServerResponse
     from .steered_request import SteeredRequest
     from .target_report_reader import TargetReportReader
@@ -36,7 +36,7 @@
         self,
         names: "HeaderNames",
         reader: "TargetReportReader",
-        targets: "TargetBook",
+        targets: "TargetRegistry",
         steering: "AffinitySteering",
     ) -> None:
         self._names = names
@@ -64,12 +64,12 @@
             raise TargetUnknownError("answer to another request", reason="mixed")
         if response.status == _MISDIRECTED:
             # The response reports about the other target, so its report is not recorded.
-            self._targets.drop(state)
+            self._targets.mark_replaced(state)
             raise TargetNotRunError("another target is at the address", reason="misdirected")
-        self._targets.reports.note(state, self._reader.read(response, state.target), sent_at)
+        self._targets.reports.record(state, self._reader.read(response, state.target), sent_at)
         if response.header(names.not_run) is not None:
             reason = f"{REJECTED_PREFIX}{response.status}"
-            come_back_s = self._steering.come_back_s(
+            come_back_s = self._steering.retry_after_s(
                 state, request.service, request.allowed_regions
             )
             raise TargetNotRunError("target did not run it", reason=reason, come_back_s=come_back_s)
@@ -84,4 +84,4 @@
         if response.status == _MISDIRECTED:
             return
         report = self._reader.read(response, state.target).restrictions()
-        self._targets.reports.note(state, report, 0.0)
+        self._targets.reports.record(state, report, 0.0)
--- a/src/coralfall/traffic/target_permits.py
+++ b/src/coralfall/traffic/target_permits.py
@@ -1,7 +1,7 @@
 """Enforces the rate limits that targets report, over all entries together.
 
 Each attempt at a target with a limit needs a token of its distributed token bucket; see
-:mod:`..placement.ledger`. Tokens are granted by the owner in the target's region, so that an entry
+:mod:`..placement.buckets`. Tokens are granted by the owner in the target's region, so that an entry
 that can reach the target can most likely reach the owner, too. Requests don't wait for tokens: a
 target that has none is skipped.
 """
@@ -13,15 +13,15 @@
 from .. import defaults
 from ..exceptions import TargetNotRunError
 from ..ids import EntryId, TargetId
-from ..placement.ledger import Limit, LimitKey, LimitKind, slot_of
-from ..placement.target_limits import key_of
+from ..placement.buckets import Limit, LimitKey, LimitKind, slot_of
+from ..placement.target_limits import target_limit_key
 from .permits import LimitSource
 
 if t.TYPE_CHECKING:
     from ..ids import RegionId
-    from ..placement.ledger import Slot
+    from ..placement.buckets import Slot
     from ..placement.target_limits import TargetLimits
-    from ..placement.targets import TargetBook
+    from ..placement.targets import TargetRegistry
     from ..process.clock import Clock
     from .acquisition import Acquisition
     from .model import Target
@@ -58,7 +58,7 @@
         self,
         permits: "Permits",
         limits: "TargetLimits",
-        targets: "TargetBook",
+        targets: "TargetRegistry",
         settings: "SteerSettings",
         clock: "Clock",
     ) -> None:
@@ -100,7 +100,7 @@
         limit = self.limits.bucket_of(target.target_id)
         if limit is None or not self.is_needed(target):
             return None
-        key = key_of(target.target_id, self._region_of(target))
+        key = target_limit_key(target.target_id, self._region_of(target))
         until = min(until, self._clock.monotonic() + defaults.QUOTA_HEDGE_DELAY_S)
         # A target serves the objects in its cache several times faster, and caching others in
         # their place is of no use once the target's tokens go to other requests.
@@ -109,7 +109,7 @@
         )
         if acquisition.granted is not None:
             return TargetPermit(key, limit, acquisition.granted.owner_id)
-        self.limits.exhaust(target, _backoff_s(acquisition), known)
+        self.limits.mark_exhausted(target, _backoff_s(acquisition), known)
         message = f"target {target.target_id} allows {limit.rate_per_s:g} requests/s in all"
         wait_s = max(self.limits.wait_s(target, known), defaults.STEER_RETRY_AFTER_S)
         raise TargetNotRunError(message, reason=LIMITED, come_back_s=wait_s)
@@ -123,7 +123,7 @@
         for target_id in self.limits.in_force():
             state = self._targets.by_id.get(target_id)
             if state is not None:
-                yield slot_of(key_of(target_id, self._region_of(state.target)))
+                yield slot_of(target_limit_key(target_id, self._region_of(state.target)))
 
     def _region_of(self, target: "Target") -> "t.Optional[RegionId]":
         return self._settings.regions_by_zone.get(target.zone)
--- a/tests/traffic/quota_fleet.py
+++ b/tests/traffic/quota_fleet.py
@@ -17,7 +17,7 @@
 )
 from coralfall.ids import EntryId, EntryState, Incarnation, RegionId
 from coralfall.peering.messages import Hello
-from coralfall.placement.ledger import Ledger
+from coralfall.placement.buckets import TokenBuckets
 from coralfall.process.clock import Clock
 from coralfall.traffic.messages import PermitReply, PermitRequest
 from coralfall.traffic.model import EntryRecord, Tenant
@@ -61,7 +61,7 @@
 def make_permits(clock: Clock) -> Permits:
     """Returns the permits of a single entry, which owns all limits itself."""
     members = FakeMembers(make_record("e1"))
-    return Permits(t.cast(t.Any, members), t.cast(t.Any, None), Ledger(clock), clock)
+    return Permits(t.cast(t.Any, members), t.cast(t.Any, None), TokenBuckets(clock), clock)
 
 
 class FakeStateView:
@@ -150,7 +150,7 @@
         self.permits = Permits(
             t.cast(t.Any, self.members),
             t.cast(t.Any, FakeLinks(self._fleet, self)),
-            Ledger(self._clock),
+            TokenBuckets(self._clock),
             self._clock,
         )
         self.quotas = Quotas(
--- a/tests/traffic/test_crashes.py
+++ b/tests/traffic/test_crashes.py
@@ -160,7 +160,7 @@
         for target in targets:
             crash = crash_digest(TargetId(target), None)
             cut_off = [(fingerprint(head, b""), caller_digest(""))]
-            harness.quarantine.note_crash(crash, cut_off)
+            harness.quarantine.record_crash(crash, cut_off)
 
     @parameterized.expand(
         [
@@ -201,7 +201,7 @@
                 head = head_digest("POST", "a.example", "/p/1?q=2", None, None)
                 cut_off = [(fingerprint(head, b"body"), caller_digest(""))]
                 for name in "abc":
-                    harness.quarantine.note_crash(crash_digest(TargetId(name), None), cut_off)
+                    harness.quarantine.record_crash(crash_digest(TargetId(name), None), cut_off)
                 reply = await harness.forward(harness.request("upload", body=body))
                 harness.pool.close()
                 return reply.status
--- a/tests/traffic/test_forwarder.py
+++ b/tests/traffic/test_forwarder.py
@@ -12,9 +12,9 @@
 from coralfall.forwarding.request import MemoryAccount, RequestBody
 from coralfall.ids import Outcome, TargetId
 from coralfall.placement.affinity import AffinitySteering
-from coralfall.placement.budget import SendBudget
 from coralfall.placement.quarantine import Quarantine
-from coralfall.placement.targets import TargetBook
+from coralfall.placement.retry_budget import SharedRetryBudget
+from coralfall.placement.targets import TargetRegistry
 from coralfall.platform.names import HEADERS
 from coralfall.process.clock import Clock, SystemClock
 from coralfall.traffic import pool
@@ -54,13 +54,13 @@
     ) -> None:
         clock = clock or SystemClock()
         self.clock = clock
-        self.targets = TargetBook(clock)
+        self.targets = TargetRegistry(clock)
         self.steering = AffinitySteering(make_settings(), self.targets, clock)
         self.steering.set_state(make_state())
         listed = [make_target(number, address=address) for number, address in enumerate(addresses)]
         self.targets.update({target.target_id: target for target in listed})
         self.pool = ConnectionPool(clock)
-        budget = SendBudget(bounds or BoundSettings(), clock)
+        budget = SharedRetryBudget(bounds or BoundSettings(), clock)
         self.crash_detector = CrashDetector(self.targets, self.pool, clock)
         self.quarantine = Quarantine(defaults.QUARANTINE_S, clock)
         self.permits = make_permits(clock)
@@ -113,9 +113,9 @@
     def _key_for(self, target_id: TargetId) -> bytes:
         for number in range(1000):
             key = str(number).encode()
-            place = self.steering.choose(make_route(), PEDIDOS, key, ())
-            place.release()
-            if place.state.target.target_id == target_id:
+            reservation = self.steering.choose(make_route(), PEDIDOS, key, ())
+            reservation.release()
+            if reservation.state.target.target_id == target_id:
                 return key
         raise AssertionError("no key is assigned to the target first")
 
@@ -328,7 +328,7 @@
             harness = ForwarderHarness(["127.0.0.1:1"])
             with mock.patch.object(pool, "connect", side_effect=OSError(number, "no")):
                 reply = await harness.forward(harness.request("unsafe"))
-            return reply, harness.targets.by_id[TargetId("t0")].usable()
+            return reply, harness.targets.by_id[TargetId("t0")].is_usable()
 
         reply, found = asyncio.run(main())
         self.assertEqual(
@@ -383,7 +383,7 @@
                 for number in range(6):
                     await harness.forward(harness.request("safe", number, seconds=seconds))
                 state = harness.targets.by_id[TargetId("t0")]
-                return state.durations.typical(harness.clock.monotonic())
+                return state.latencies.median_s(harness.clock.monotonic())
 
         typical = asyncio.run(main())
         assert typical is not None
@@ -521,7 +521,7 @@
                 last = harness.request("safe", 3, first="t0")
                 reply = await harness.forward(last)
                 results = [send.result for send in last.attempts]
-                usable = harness.targets.by_id[TargetId("t0")].usable()
+                usable = harness.targets.by_id[TargetId("t0")].is_usable()
                 harness.pool.close()
                 return reply.status, results, target.connections - before, usable
 
@@ -589,7 +589,7 @@
                 await asyncio.wait({task})
                 await asyncio.wait_for(target.caller_disconnected.wait(), 5)
                 state = harness.targets.by_id[TargetId("t0")]
-                self.assertEqual(0, state.in_hand)
+                self.assertEqual(0, state.in_flight)
 
         asyncio.run(main())
 
@@ -677,7 +677,7 @@
                 [one.address for one in targets], BoundSettings(budget_slack=0)
             )
             first = harness.targets.by_id[TargetId("t0")]
-            harness.limits.note_answer(first.target, 0.2, 0.0)
+            harness.limits.record_answer(first.target, 0.2, 0.0)
             requests = [harness.request(kind, number, first="t0") for number in range(4)]
             replies = [await harness.forward(request) for request in requests]
             harness.pool.close()
@@ -699,11 +699,11 @@
         async def main() -> t.Tuple[t.List[str], bool]:
             harness = ForwarderHarness(["127.0.0.1:1"])
             state = harness.targets.by_id[TargetId("t0")]
-            harness.limits.note_answer(state.target, 0.2, 0.0)
+            harness.limits.record_answer(state.target, 0.2, 0.0)
             request = harness.request("unsafe")
             await harness.forward(request)
             harness.pool.close()
-            return [send.result for send in request.attempts], state.knows(request.object_key)
+            return [send.result for send in request.attempts], state.has_cached(request.object_key)
 
         self.assertEqual((["limited"], False), asyncio.run(main()))
 
@@ -711,7 +711,7 @@
         async def main() -> t.Tuple[int, int]:
             harness = ForwarderHarness(["127.0.0.1:1"])
             state = harness.targets.by_id[TargetId("t0")]
-            harness.limits.note_answer(state.target, 50.0, 0.0)
+            harness.limits.record_answer(state.target, 50.0, 0.0)
             acquired = unconnected = 0
             give_back = mock.Mock(wraps=harness.permits.return_token)
             async with asyncio.timeout(_TIMEOUT_S):
@@ -737,7 +737,7 @@
 
                 async def take(*arguments: t.Any) -> t.Any:
                     connection = await opened(*arguments)
-                    harness.limits.note_answer(state.target, 0.2, harness.clock.monotonic())
+                    harness.limits.record_answer(state.target, 0.2, harness.clock.monotonic())
                     return connection
 
                 with mock.patch.object(harness.pool, "acquire", take):
--- a/tests/traffic/test_quotas.py
+++ b/tests/traffic/test_quotas.py
@@ -6,8 +6,8 @@
 
 from parameterized import parameterized
 
-from coralfall.placement.ledger import slot_of
-from coralfall.placement.quota import key_of
+from coralfall.placement.buckets import slot_of
+from coralfall.placement.tenant_limits import tenant_limit_key
 from coralfall.traffic.settings import BoundSettings
 from tests.traffic.makers import make_tenant
 from tests.traffic.quota_fleet import BOUNDS, STRICT_BOUNDS, QuotaEntry, QuotaFleet
@@ -180,7 +180,7 @@
 
 def owner_of(fleet: QuotaFleet) -> QuotaEntry:
     """Returns the entry that most entries consider the owner of the tenant's limit."""
-    slot = slot_of(key_of(fleet.tenant.tenant_id))
+    slot = slot_of(tenant_limit_key(fleet.tenant.tenant_id))
     seen: t.List[t.Any] = []
     for entry in fleet.entries:
         if entry.running:
--- a/tests/traffic/test_withdrawal_while_waiting.py
+++ b/tests/traffic/test_withdrawal_while_waiting.py
@@ -40,7 +40,7 @@
                 async def take_slowly(*arguments: t.Any) -> t.Any:
                     taken = await acquire(*arguments)
                     if arguments[0] is state.target:
-                        harness.targets.reports.note(state, report, 0.0)
+                        harness.targets.reports.record(state, report, 0.0)
                     return taken
 
                 with mock.patch.object(waited, "acquire", take_slowly):
