--- a/src/coralfall/traffic/quotas.py
+++ b/src/coralfall/traffic/quotas.py
@@ -1,4 +1,8 @@
-"""Quotas: holds each tenant's requests to its limit, by permits of those who count for it."""
+"""Enforces the tenants' rate limits over all entries together.
+
+Each request needs a token of its tenant's distributed token bucket; see
+:mod:`..placement.buckets`.
+"""
 
 import asyncio
 import typing as t
@@ -20,28 +24,28 @@
     from .settings import BoundSettings
     from .state_view import StateView
 
-#: Reason of a request beyond its tenant's limit, and of one for which no owner could be asked.
+#: Reasons of a request beyond its tenant's limit, and of one for which too few owners replied.
 OVER_LIMIT = "over-limit"
 NO_OWNER = "no-quota-owner"
-#: Part of all shares that owners must have whose refusal says that a tenant is over its limit.
-_KNOWN_PART = 0.5
+#: Fraction of all shares that refusing owners must hold to prove that a tenant is over its limit.
+_QUORUM_SHARE = 0.5
 
 _SLOTS = tuple([Slot(number) for number in range(SLOT_COUNT)])
 
 
 class _Backoff(t.NamedTuple):
-    """A tenant that is over its limit, for which nothing is asked until then."""
+    """The refusal of a tenant over its limit, repeated until a time without asking the owners."""
 
     until: float
-    answer: "OwnerReply"
+    reply: "OwnerReply"
 
 
 class Quotas(LimitSource):
-    """Keeps all entries together within the tenants' limits.
+    """Enforces the tenants' limits over all entries together.
 
     :param permits: acquires tokens.
-    :param belief: the tenants and their limits.
-    :param bounds: what the users hold the system to.
+    :param state_view: the tenants and their limits.
+    :param bounds: configured bounds of the system's behaviour.
     :param clock: tells the time.
     """
 
@@ -52,7 +56,7 @@
         self._state_view = state_view
         self.bounds = bounds
         self._clock = clock
-        self._over: t.Dict["TenantId", _Backoff] = {}
+        self._backoffs: t.Dict["TenantId", _Backoff] = {}
 
     def slots(self) -> "t.Collection[Slot]":
         return _SLOTS if self._state_view.tenants.has_limits else ()
@@ -64,11 +68,11 @@
         return None if tenant is None else limit_of(tenant, self.bounds)
 
     async def acquire(self, tenant: "t.Optional[Tenant]") -> "t.Optional[EntryId]":
-        """Wait for a permit to send one request of a tenant.
+        """Acquires a token for one request of a tenant.
 
-        :return: the owner that gave it, if it was needed.
+        :return: the owner that granted it; ``None`` if no token is needed.
         :raises OverLimitError: if the tenant is over its limit.
-        :raises RefusedError: if those who count for it could not be asked.
+        :raises RefusedError: if the owners of the limit could not be asked.
         """
         if tenant is None:
             return None
@@ -76,63 +80,65 @@
         if limit == UNLIMITED:
             return None
         now = self._clock.monotonic()
-        backoff = self._over.get(tenant.tenant_id)
+        backoff = self._backoffs.get(tenant.tenant_id)
         if backoff is not None and now < backoff.until:
-            raise _over_limit(tenant, backoff.answer, now)
-        answer = await self._ask(tenant, limit, now + defaults.QUOTA_WAIT_TIMEOUT_S)
-        if answer.grant.count:
-            return answer.owner_id
-        backoff_s = min(answer.grant.wait_s, defaults.MAX_QUOTA_REJECT_S)
-        self._over[tenant.tenant_id] = _Backoff(answer.received_at + backoff_s, answer)
-        raise _over_limit(tenant, answer, answer.received_at)
+            raise _over_limit(tenant, backoff.reply, now)
+        reply = await self._acquire_token(tenant, limit, now + defaults.QUOTA_WAIT_TIMEOUT_S)
+        if reply.grant.count:
+            return reply.owner_id
+        backoff_s = min(reply.grant.wait_s, defaults.MAX_QUOTA_REJECT_S)
+        self._backoffs[tenant.tenant_id] = _Backoff(reply.received_at + backoff_s, reply)
+        raise _over_limit(tenant, reply, reply.received_at)
 
     def return_token(self, tenant: "t.Optional[Tenant]", owner_id: "t.Optional[EntryId]") -> None:
-        """Return the permit of a request that did not run."""
+        """Returns the token of a request that did not run to its owner."""
         if tenant is None or owner_id is None:
             return
         limit = limit_of(tenant, self.bounds)
         self._permits.return_token(tenant_limit_key(tenant.tenant_id), limit, owner_id)
 
     def drop_expired(self) -> None:
-        """Drops backoffs that are over."""
+        """Drops backoffs that have ended."""
         now = self._clock.monotonic()
-        self._over = {name: one for name, one in self._over.items() if now < one.until}
+        self._backoffs = {
+            name: backoff for name, backoff in self._backoffs.items() if now < backoff.until
+        }
 
-    async def _ask(self, tenant: "Tenant", limit: "Limit", until: float) -> "OwnerReply":
-        """Ask the owners until one of them grants a token.
+    async def _acquire_token(self, tenant: "Tenant", limit: "Limit", until: float) -> "OwnerReply":
+        """Asks the owners until one grants a token or the refusals are conclusive.
 
-        Where those that refuse have few of the shares, as after a start of all entries or in a cut,
-        the tenant may well be within its limit: they are asked again for a while.
+        If the owners that refuse hold few of the shares, as after a restart of all entries or in a
+        network partition, the tenant may well be within its limit, so they are asked again.
 
-        :raises RefusedError: if they still have few shares then.
+        :raises RefusedError: if they still hold too few shares when the time is over.
         """
         key = tenant_limit_key(tenant.tenant_id)
         while True:
             acquisition = await self._permits.acquire(key, limit, until)
-            answer = _final(acquisition)
-            if answer is not None:
-                return answer
+            reply = _final_reply(acquisition)
+            if reply is not None:
+                return reply
             if self._clock.monotonic() + defaults.QUOTA_RENEW_INTERVAL_S >= until:
                 message = f"too few of those who count for {tenant.tenant_id} could be asked"
                 raise RefusedError(message, defaults.QUOTA_TIMEOUT_S, reason=NO_OWNER)
             await asyncio.sleep(defaults.QUOTA_RENEW_INTERVAL_S)
 
 
-def _final(acquisition: "Acquisition") -> "t.Optional[OwnerReply]":
-    """A grant, or a refusal by those who know."""
+def _final_reply(acquisition: "Acquisition") -> "t.Optional[OwnerReply]":
+    """Returns a grant, or the refusal of owners that hold enough shares; ``None`` if undecided."""
     if acquisition.granted is not None:
         return acquisition.granted
-    if acquisition.refused_share() < _KNOWN_PART:
+    if acquisition.refused_share() < _QUORUM_SHARE:
         return None
     return acquisition.soonest_refusal()
 
 
-def _over_limit(tenant: "Tenant", answer: "OwnerReply", now: float) -> OverLimitError:
-    age_ms = (now - answer.received_at) * 1000
-    grant = answer.grant
+def _over_limit(tenant: "Tenant", reply: "OwnerReply", now: float) -> OverLimitError:
+    age_ms = (now - reply.received_at) * 1000
+    grant = reply.grant
     return OverLimitError(
         f"{tenant.tenant_id} is over its limit of {tenant.rate_per_s:g} requests a second",
-        max(0.0, answer.received_at + grant.wait_s - now),
+        max(0.0, reply.received_at + grant.wait_s - now),
         reason=OVER_LIMIT,
-        detail=f"{answer.owner_id}:{grant.level:.2f}:{grant.part:.3f}:{age_ms:.0f}",
+        detail=f"{reply.owner_id}:{grant.level:.2f}:{grant.part:.3f}:{age_ms:.0f}",
     )
--- a/src/coralfall/traffic/reply.py
+++ b/src/coralfall/traffic/reply.py
@@ -1,4 +1,4 @@
-"""Replies: what a caller is answered, by a target or by the entry itself."""
+"""Replies to callers, made from a target's response or from an error of the entry."""
 
 import typing as t
 
@@ -19,46 +19,47 @@
 if t.TYPE_CHECKING:
     from .connection import Headers, ServerResponse
 
-_DROPPED = HOP_BY_HOP | {b"content-length", b"date"}
-#: Seconds after which a caller may come back if nothing else is known.
-_COME_BACK_S = 0.1
+_STRIPPED_HEADERS = HOP_BY_HOP | {b"content-length", b"date"}
+#: ``Retry-After`` in seconds if the error names none.
+_RETRY_AFTER_S = 0.1
 _NO_BODY_STATUSES = frozenset((204, 304))
 
 
 class Reply(msgspec.Struct):
-    """A whole answer to a caller."""
+    """A complete reply to a caller."""
 
     status: int
     headers: "Headers"
     body: bytes
     outcome: Outcome
-    #: Why, in a word, for logs and metrics.
+    #: Short code of the reason, for logs and metrics.
     reason: str
-    #: What was known that decided it, for logs; empty if the reason says it all.
+    #: Data that the decision was based on, for logs; empty if the reason suffices.
     detail: str = ""
 
 
-def reply_from_response(answer: "ServerResponse", bodiless: bool) -> Reply:
-    """What a caller gets of a target's answer: all of it but what concerns one connection."""
-    named: t.Set[bytes] = set()
-    for name, value in answer.headers:
+def reply_from_response(response: "ServerResponse", bodiless: bool) -> Reply:
+    """Returns a target's response as a reply, without the hop-by-hop headers."""
+    connection_options: t.Set[bytes] = set()
+    for name, value in response.headers:
         if name == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
-    dropped = _DROPPED | named
-    headers = [field for field in answer.headers if field[0] not in dropped]
+            connection_options.update(part.strip().lower() for part in value.split(b","))
+    stripped = _STRIPPED_HEADERS | connection_options
+    headers = [field for field in response.headers if field[0] not in stripped]
     if bodiless:
-        length = answer.header(b"content-length")
+        length = response.header(b"content-length")
         if length is not None:
             headers.append((b"content-length", length))
-    elif answer.status not in _NO_BODY_STATUSES:
-        headers.append((b"content-length", str(len(answer.body)).encode()))
-    return Reply(answer.status, headers, answer.body, Outcome.DONE, "answered")
+    elif response.status not in _NO_BODY_STATUSES:
+        headers.append((b"content-length", str(len(response.body)).encode()))
+    return Reply(response.status, headers, response.body, Outcome.DONE, "answered")
 
 
 def reply_from_error(error: CoralfallError) -> Reply:
-    """What a caller is told of a request that no target answered.
+    """Returns the reply to a request that no target answered.
 
-    429 and 503 promise that the request was not run and never will be; 502 and 504 promise nothing.
+    The statuses 429 and 503 guarantee that the request did not run and never will; 502 and 504
+    guarantee nothing.
     """
     status, outcome = _status_of(error)
     body = msgspec.json.encode({"code": error.code, "message": error.message})
@@ -67,10 +68,10 @@
         (b"content-length", str(len(body)).encode()),
     ]
     if status in (429, 503):
-        seconds = error.fields.get("come_back_s", _COME_BACK_S)
+        retry_after_s = error.fields.get("come_back_s", _RETRY_AFTER_S)
         if isinstance(error, RetryLaterError):
-            seconds = error.retry_after
-        headers.append((b"retry-after", f"{seconds:.3f}".encode()))
+            retry_after_s = error.retry_after
+        headers.append((b"retry-after", f"{retry_after_s:.3f}".encode()))
     reason = str(error.fields.get("reason", error.code))
     return Reply(status, headers, body, outcome, reason, str(error.fields.get("detail", "")))
 
--- a/src/coralfall/traffic/response_check.py
+++ b/src/coralfall/traffic/response_check.py
@@ -1,4 +1,8 @@
-"""Answer checks: what an answer proves of its request, and what it reports of its target."""
+"""Checks of targets' responses before they are passed on to callers.
+
+A check finds out what a response proves about its request, and records what it reports about its
+target.
+"""
 
 import typing as t
 
@@ -12,20 +16,20 @@
     from .target_report_reader import TargetReportReader
     from .wire import HeaderNames
 
-#: First part of the result of a send that the target rejected.
-SHED = "shed-"
+#: Prefix of the result of an attempt that the target rejected with proof that it did not run.
+REJECTED_PREFIX = "shed-"
 _MISDIRECTED = 421
-_PROMISES = frozenset((408, 421, 429, 503))
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 _FIRST_REDIRECT = 300
 
 
 class ResponseCheck:
-    """Checks answers before they are passed on.
+    """Checks responses before they are passed on.
 
     :param names: header names.
-    :param reader: reads what an answer says of its target.
-    :param targets: told of that.
-    :param steering: tells when a caller may come back.
+    :param reader: reads what a response reports about its target.
+    :param targets: records these reports.
+    :param steering: tells when a rejected caller may retry.
     """
 
     def __init__(
@@ -42,42 +46,42 @@
 
     def check(
         self,
-        answer: "ServerResponse",
+        response: "ServerResponse",
         request: "SteeredRequest",
         state: "TargetState",
         sent_at: float,
     ) -> None:
-        """Takes in an answer's report, and checks that it may be passed on.
+        """Records a response's report and checks that the response may be passed on.
 
         :param sent_at: monotonic time at which the request was sent.
         :raises TargetNotRunError: if it proves that the target did not run the request.
-        :raises TargetUnknownError: if it is not the answer to the request, or not to be believed.
+        :raises TargetUnknownError: if it belongs to another request or can't be trusted.
         """
         names = self._names
-        echoed = answer.header(names.request_id)
-        if echoed is not None and echoed.decode("latin-1") != request.request_id:
-            self.note_restrictions(answer, state)
+        echoed_id = response.header(names.request_id)
+        if echoed_id is not None and echoed_id.decode("latin-1") != request.request_id:
+            self.note_restrictions(response, state)
             raise TargetUnknownError("answer to another request", reason="mixed")
-        if answer.status == _MISDIRECTED:
-            # What it says is said of another target.
+        if response.status == _MISDIRECTED:
+            # The response reports about the other target, so its report is not recorded.
             self._targets.mark_replaced(state)
             raise TargetNotRunError("another target is at the address", reason="misdirected")
-        self._targets.reports.record(state, self._reader.read(answer, state.target), sent_at)
-        if answer.header(names.not_run) is not None:
-            reason = f"{SHED}{answer.status}"
+        self._targets.reports.record(state, self._reader.read(response, state.target), sent_at)
+        if response.header(names.not_run) is not None:
+            reason = f"{REJECTED_PREFIX}{response.status}"
             come_back_s = self._steering.retry_after_s(
                 state, request.service, request.allowed_regions
             )
             raise TargetNotRunError("target did not run it", reason=reason, come_back_s=come_back_s)
-        if answer.status in _PROMISES:
+        if response.status in _NOT_RUN_STATUSES:
             raise TargetUnknownError("target promises what it can't", reason="unproved")
-        unsigned = answer.header(names.signature) is None or echoed is None
-        if answer.status < _FIRST_REDIRECT and unsigned:
+        is_unsigned = response.header(names.signature) is None or echoed_id is None
+        if response.status < _FIRST_REDIRECT and is_unsigned:
             raise TargetUnknownError("answer is not signed", reason="unsigned")
 
-    def note_restrictions(self, answer: "ServerResponse", state: "TargetState") -> None:
-        """Takes in the restrictions that an answer names which is not passed on."""
-        if answer.status == _MISDIRECTED:
+    def note_restrictions(self, response: "ServerResponse", state: "TargetState") -> None:
+        """Records only the restrictions that a response reports, as it is not passed on."""
+        if response.status == _MISDIRECTED:
             return
-        report = self._reader.read(answer, state.target).restrictions()
+        report = self._reader.read(response, state.target).restrictions()
         self._targets.reports.record(state, report, 0.0)
--- a/tests/traffic/test_withdrawal_while_waiting.py
+++ b/tests/traffic/test_withdrawal_while_waiting.py
@@ -1,4 +1,4 @@
-"""Tests of requests whose target wants no more just as they wait to be sent to it."""
+"""Tests of requests whose target stops accepting requests while they wait to be sent to it."""
 
 import asyncio
 import itertools
@@ -13,7 +13,7 @@
 from tests.traffic.scripted_target import ScriptedTarget
 from tests.traffic.test_forwarder import ForwarderHarness, ok
 
-#: What the target says meanwhile, and the result of the send that was given up.
+#: Report of the target in the meantime, and the result of the abandoned attempt.
 _REPORTS = (
     (TargetReport(leaving=True), "withdrawn"),
     (TargetReport(cooldown_s=3.0), "cooldown"),
@@ -31,7 +31,7 @@
         async def main() -> t.Tuple[int, t.List[str], t.List[int]]:
             async with ScriptedTarget(ok) as target, ScriptedTarget(ok) as other:
                 harness = ForwarderHarness([target.address, other.address])
-                harness.forwarder._budget.try_spend = mock.Mock(return_value=False)  # type: ignore
+                harness.forwarder._budget.acquire = mock.Mock(return_value=False)  # type: ignore
                 state = harness.targets.by_id[TargetId("t0")]
                 request = harness.request(kind, first="t0")
                 waited = harness.pool if waits_for == "connection" else harness.forwarder._permits
@@ -43,7 +43,7 @@
                         harness.targets.reports.record(state, report, 0.0)
                     return taken
 
-                with mock.patch.object(waited, "take", take_slowly):
+                with mock.patch.object(waited, "acquire", take_slowly):
                     reply = await harness.forward(request)
                 harness.pool.close()
                 results = [send.result for send in request.attempts]
