--- a/src/coralfall/placement/admission.py
+++ b/src/coralfall/placement/admission.py
@@ -23,9 +23,9 @@
 _QUANTILE_STEP = 0.05
 #: Quantile for requests whose object the target did not have cached.
 _UNCACHED_QUANTILE = 0.5
-#: Multiples of the typical and of the expected duration after which an answer is overdue, and the
-#: minimum time for that. A target that loads an object behind a queue is slow but responsive:
-#: passing it over would make a third target load the object, too.
+#: An answer is overdue after these multiples of the typical and of the expected duration, whichever
+#: is longer, and never before the minimum. A target that loads an object while it has a queue is
+#: slow but responsive: skipping it would make a third target load the object, too.
 _OVERDUE_TYPICAL_MULTIPLE = 3.0
 _OVERDUE_EXPECTED_MULTIPLE = 2.0
 _OVERDUE_MIN_S = 0.3
--- a/src/coralfall/placement/affinity.py
+++ b/src/coralfall/placement/affinity.py
@@ -37,8 +37,9 @@
 
 _Regions = t.FrozenSet["RegionId"]
 
-#: Longest time, in seconds, after which a rejected caller is told to retry. Callers that are late
-#: already are told this one: they lose nothing, and the capacity goes to others first.
+#: Longest time, in seconds, after which a rejected caller is told to retry. Callers that have
+#: already missed their latency target are told this one: they lose nothing by it, and the
+#: capacity goes to others first.
 _MAX_RETRY_AFTER_S = 1.0
 #: Load limits of targets that have not cached the object and are not its first candidate, by the
 #: regular limit. Loading an object takes three times as long as serving a cached one: under load
@@ -116,7 +117,10 @@
         self.state.end_request(self._request_number)
 
     def cancel(self) -> None:
-        """Ends the reservation of a request that was not sent, so its object is not cached."""
+        """Ends the reservation of a request that was not sent.
+
+        Its object no longer counts as cached by the target, unless it did before.
+        """
         self.release()
         if not self.known:
             self.state.forget_object(self._key)
@@ -144,7 +148,7 @@
         self._region_count = len(set(settings.regions_by_zone.values()))
         self._generation = -1
         self._cold_per_s: t.Dict["ServiceId", float] = {}
-        self._speed = SlowTargetDetector(targets, self._region_of, clock)
+        self._slow_targets = SlowTargetDetector(targets, self._region_of, clock)
         #: Estimates of the latencies of targets and of the time limits of callers.
         self.admission = Admission()
         #: Rate limits that targets reported.
@@ -250,8 +254,8 @@
 
     def _retry_after_s(self, candidates: t.Sequence["TargetState"]) -> float:
         """Seconds after which one of the targets should have capacity again."""
-        drained_s = min([self.admission.queue_drain_s(state) for state in candidates])
-        return min(max(defaults.STEER_RETRY_AFTER_S, drained_s), _MAX_RETRY_AFTER_S)
+        drain_s = min([self.admission.queue_drain_s(state) for state in candidates])
+        return min(max(defaults.STEER_RETRY_AFTER_S, drain_s), _MAX_RETRY_AFTER_S)
 
     def _load_limit_of(
         self, state: "TargetState", first: bool, key: bytes, limit: float, route: "Route"
@@ -320,8 +324,8 @@
     def _may_send_to_cold(self, state: "TargetState") -> bool:
         target = state.target
         per_s = self._cold_per_s.get(target.service, 1.0)
-        max_load = self.cold_shares.allowance_of(target.target_id, per_s)
-        return state.cold_limiter.has_room(self._clock.monotonic(), max_load)
+        max_requests = self.cold_shares.allowance_of(target.target_id, per_s)
+        return state.cold_limiter.has_room(self._clock.monotonic(), max_requests)
 
     def _prefer_fast(
         self, states: t.Sequence["TargetState"], key: bytes
@@ -331,11 +335,11 @@
         It is the next one of the same region that keeps the object, so that no traffic moves
         between regions.
         """
-        if not states or self._speed.keeps_object(states[0], key):
+        if not states or self._slow_targets.keeps_object(states[0], key):
             return states
         region = self._region_of(states[0])
         for state in states[1:]:
-            if self._region_of(state) == region and self._speed.keeps_object(state, key):
+            if self._region_of(state) == region and self._slow_targets.keeps_object(state, key):
                 return [state, *[other for other in states if other is not state]]
         return states
 
@@ -353,7 +357,7 @@
 
     def _rank(self, service: "ServiceId", key: bytes, regions: _Regions) -> _Ranking:
         slots = self._slots_by_region(service, regions)
-        count = self._region_count
+        region_count = self._region_count
         near: t.List[t.Tuple[float, "TargetState"]] = []
         remote: t.List[t.Tuple[float, "TargetState"]] = []
         for state in self._targets.of_service(service):
@@ -364,7 +368,7 @@
             if region == self.settings.region:
                 near.append((rendezvous_score(target.target_id, key, target.slots), state))
                 continue
-            weight = target.slots * remote_weight(region, slots, count)
+            weight = target.slots * remote_weight(region, slots, region_count)
             remote.append((rendezvous_score(target.target_id, key, weight), state))
         return _Ranking(
             hash_position(key), _by_descending_score(near), _by_descending_score(remote)
@@ -374,10 +378,10 @@
         slots = self._slots_by_region(service, regions)
         goal = local_fraction(self.settings.region, slots, self._region_count)
         now = self._clock.monotonic()
-        part = self._local_fractions.get((service, regions))
-        if part is None:
-            part = self._local_fractions[service, regions] = RateLimitedFraction(now, goal)
-        return part.follow(now, goal, self.settings.bounds.home_shift_per_s())
+        fraction = self._local_fractions.get((service, regions))
+        if fraction is None:
+            fraction = self._local_fractions[service, regions] = RateLimitedFraction(now, goal)
+        return fraction.follow(now, goal, self.settings.bounds.home_shift_per_s())
 
     def _slots_by_region(self, service: "ServiceId", regions: _Regions) -> SlotsByRegion:
         known = self._slots.get((service, regions))
--- a/src/coralfall/placement/buckets.py
+++ b/src/coralfall/placement/buckets.py
@@ -38,7 +38,7 @@
 #: Longest time, in seconds, after which a rejected caller is told to retry.
 _MAX_RETRY_AFTER_S = 5.0
 #: Tolerance in tokens for the rounding errors of accrued fractions.
-_ROUNDING = 1e-6
+_ROUNDING_TOLERANCE = 1e-6
 
 
 class LimitKind(enum.Enum):
@@ -82,7 +82,9 @@
     numbers_by_region: t.Dict[t.Optional[RegionId], t.List[int]] = {}
     for slot in slots:
         numbers_by_region.setdefault(slot.region, []).append(slot.number)
-    return tuple([SlotGroup(region, tuple(some)) for region, some in numbers_by_region.items()])
+    return tuple(
+        [SlotGroup(region, tuple(numbers)) for region, numbers in numbers_by_region.items()]
+    )
 
 
 class Limit(msgspec.Struct, frozen=True, array_like=True):
@@ -159,7 +161,7 @@
             lease.until = min(lease.until, now)
             self.accrue(now)
 
-    def part(self) -> float:
+    def leased_fraction(self) -> float:
         """Fraction of all shares that is leased now."""
         return min(1.0, sum([lease.share for lease in self._lease_by_lessor.values()]))
 
@@ -168,19 +170,19 @@
         since_empty_s = self.accrued_s - self._empty_accrued_s
         if since_empty_s * limit.rate_per_s < 1.0:
             return 0.0
-        return min(self.part(), since_empty_s)
+        return min(self.leased_fraction(), since_empty_s)
 
     def bucket(self, key: LimitKey, limit: Limit, now: float) -> "_Bucket":
         """The refilled bucket of a limit."""
         if now - self._accrued_at >= _ACCRUAL_INTERVAL_S:
             self.accrue(now)
-        part = self.part()
+        leased_fraction = self.leased_fraction()
         bucket = self.buckets.get(key)
         if bucket is None:
             bucket = self.buckets[key] = _Bucket(limit, self._empty_accrued_s)
-            bucket.refill(self.accrued_s, min(part, self._lowest_fraction))
+            bucket.refill(self.accrued_s, min(leased_fraction, self._lowest_fraction))
         bucket.limit = limit
-        bucket.refill(self.accrued_s, part)
+        bucket.refill(self.accrued_s, leased_fraction)
         bucket.last_used_at = now
         return bucket
 
@@ -198,15 +200,15 @@
             self._trim_buckets()
 
     def _trim_buckets(self) -> None:
-        """Removes the tokens beyond the smaller size that buckets have once leases have ended."""
-        part = self.part()
+        """Shrinks the buckets to the remaining leases, and discards the tokens that do not fit."""
+        leased_fraction = self.leased_fraction()
         for bucket in self.buckets.values():
-            bucket.refill(self.accrued_s, part)
-        if part < self._lowest_fraction * _MIN_REMAINING_FRACTION:
+            bucket.refill(self.accrued_s, leased_fraction)
+        if leased_fraction < self._lowest_fraction * _MIN_REMAINING_FRACTION:
             self._empty_accrued_s = self.accrued_s
             self._lowest_fraction = 1.0
         else:
-            self._lowest_fraction = min(self._lowest_fraction, part)
+            self._lowest_fraction = min(self._lowest_fraction, leased_fraction)
 
 
 class _Bucket:
@@ -221,18 +223,18 @@
         #: When a token should be available for the next request that is rejected.
         self.next_token_at = -math.inf
 
-    def refill(self, accrued_s: float, part: float) -> None:
+    def refill(self, accrued_s: float, leased_fraction: float) -> None:
         """Adds the tokens since the last refill.
 
-        :param part: fraction of all shares that is leased now.
+        :param leased_fraction: fraction of all shares that is leased now.
         """
         added = self.limit.rate_per_s * (accrued_s - self.accrued_s)
-        self.tokens = min(self.limit.burst * part, self.tokens + added)
+        self.tokens = min(self.limit.burst * leased_fraction, self.tokens + added)
         self.accrued_s = accrued_s
 
-    def is_full(self, part: float) -> bool:
-        """Whether the bucket is full."""
-        return self.tokens >= self.limit.burst * part
+    def is_full(self, leased_fraction: float) -> bool:
+        """Whether the bucket is full for the leased fraction of its size."""
+        return self.tokens >= self.limit.burst * leased_fraction
 
 
 class TokenBuckets:
@@ -267,14 +269,14 @@
         now = self._clock.monotonic()
         shares = self._shares_of(slot_of(key), now)
         bucket = shares.bucket(key, limit, now)
-        part = shares.part()
+        leased_fraction = shares.leased_fraction()
         level = bucket.tokens
-        reserved = limit.burst * part * RESERVED_FRACTION if spare_only else 0.0
-        granted = min(count, max(0, math.floor(level - reserved + _ROUNDING)))
+        reserved = limit.burst * leased_fraction * RESERVED_FRACTION if spare_only else 0.0
+        granted = min(count, max(0, math.floor(level - reserved + _ROUNDING_TOLERANCE)))
         bucket.tokens -= granted
         wait_s = 0.0
         if granted < count:
-            wait_s = _wait_s(bucket, limit.rate_per_s * part, now, reserved)
+            wait_s = _wait_s(bucket, limit.rate_per_s * leased_fraction, now, reserved)
         return Grant(granted, wait_s, level, shares.settled_fraction(limit))
 
     def return_tokens(self, key: LimitKey, count: int) -> None:
@@ -283,19 +285,19 @@
         bucket = shares.buckets.get(key)
         if bucket is not None:
             bucket.tokens += count
-            bucket.refill(shares.accrued_s, shares.part())
+            bucket.refill(shares.accrued_s, shares.leased_fraction())
 
     def tick(self) -> None:
         """Accrues the leased shares, and removes idle full buckets, as new ones start as full."""
         now = self._clock.monotonic()
         for shares in self._shares.values():
             shares.accrue(now)
-            part = shares.part()
+            leased_fraction = shares.leased_fraction()
             for key, bucket in list(shares.buckets.items()):
                 if now - bucket.last_used_at < _IDLE_TIMEOUT_S:
                     continue
-                bucket.refill(shares.accrued_s, part)
-                if bucket.is_full(part):
+                bucket.refill(shares.accrued_s, leased_fraction)
+                if bucket.is_full(leased_fraction):
                     del shares.buckets[key]
 
     def _shares_of(self, slot: Slot, now: float) -> _Shares:
@@ -318,10 +320,10 @@
     """
     if rate_per_s <= 0:
         return defaults.QUOTA_TIMEOUT_S
-    first = now + max(0.0, 1.0 + reserved - bucket.tokens) / rate_per_s
+    first_token_at = now + max(0.0, 1.0 + reserved - bucket.tokens) / rate_per_s
     if reserved:
-        return min(first - now, _MAX_RETRY_AFTER_S)
+        return min(first_token_at - now, _MAX_RETRY_AFTER_S)
     bucket.next_token_at = min(
-        max(bucket.next_token_at + 1 / rate_per_s, first), now + _MAX_RETRY_AFTER_S
+        max(bucket.next_token_at + 1 / rate_per_s, first_token_at), now + _MAX_RETRY_AFTER_S
     )
     return bucket.next_token_at - now
--- a/src/coralfall/placement/cold_targets.py
+++ b/src/coralfall/placement/cold_targets.py
@@ -1,9 +1,9 @@
-"""Cold targets: divides the request rate that a target bears while it warms up among the entries.
+"""Cold targets: divides the request rate of a target that is warming up among the entries.
 
 An equal division among hundreds of entries would round to nothing. Instead, the entries that come
 first by a hash of target and entry (rendezvous hashing) may each send one request a second, and the
-others none. Only a part of the limit is distributed, so that it also holds while entries disagree
-on which of them are alive.
+others none. Only a fraction of the limit is distributed, so that it also holds while entries
+disagree on which of them are alive.
 """
 
 import hashlib
@@ -14,7 +14,8 @@
 
 #: Fraction of the limit that is distributed to entries.
 _DISTRIBUTED_FRACTION = 0.6
-_SPAN_S = 1.0
+#: Length of the sliding window in seconds: limits are in requests a second.
+_WINDOW_S = 1.0
 
 
 class SlidingWindowLimiter:
@@ -27,7 +28,7 @@
 
     def has_room(self, now: float, max_requests: int) -> bool:
         """Whether one more request is allowed now."""
-        self._sent_at = [at for at in self._sent_at if at > now - _SPAN_S]
+        self._sent_at = [at for at in self._sent_at if at > now - _WINDOW_S]
         return len(self._sent_at) < max_requests
 
     def record(self, now: float) -> None:
@@ -36,7 +37,7 @@
 
 
 class ColdTargetShares:
-    """This entry's part of the request rate that all entries may send to each cold target.
+    """This entry's share of the request rate that all entries may send to each cold target.
 
     :param entry_id: id of this entry.
     """
@@ -73,10 +74,10 @@
         """Whether this entry is among the first ``distributed`` ones by their hashes."""
         if not distributed:
             return False
-        own = _weight(self._entry_id, target_id)
+        own_hash = _weight(self._entry_id, target_id)
         before = 0
         for other in self._entries:
-            if _weight(other, target_id) >= own:
+            if _weight(other, target_id) >= own_hash:
                 continue
             before += 1
             if before == distributed:
--- a/src/coralfall/placement/departures.py
+++ b/src/coralfall/placement/departures.py
@@ -1,8 +1,9 @@
 """Departures: lifetimes of targets that announced in an answer that they are leaving.
 
-A departure is final, so this is a grow-only set, from which lifetimes expire once their targets
-have been unknown for long. Entries replicate it by gossip: each message carries the recent
-additions, and two entries whose checksums differ exchange the whole set (anti-entropy).
+A departure is final, so this is a grow-only set, from which lifetimes expire only once their
+targets have been unknown for a retention period. Entries replicate it by gossip: each message
+carries the recent additions, and two entries whose checksums differ exchange the whole set
+(anti-entropy).
 """
 
 import typing as t
--- a/src/coralfall/placement/locality.py
+++ b/src/coralfall/placement/locality.py
@@ -21,71 +21,75 @@
 SlotsByRegion = t.Mapping["RegionId", int]
 
 
-def local_fraction(region: "RegionId", slots: SlotsByRegion, regions: int) -> float:
+def local_fraction(region: "RegionId", slots: SlotsByRegion, region_count: int) -> float:
     """Fraction of its objects that a region should serve itself, from 0 to 1.
 
     :param slots: slots of the usable targets by region.
-    :param regions: number of regions that have callers.
+    :param region_count: number of regions that have callers.
     """
-    needed = _needed_slots(slots, regions)
+    needed = _needed_slots(slots, region_count)
     if not needed:
         return 0.0
     return min(1.0, slots.get(region, 0) / needed)
 
 
-def remote_weight(region: "RegionId", slots: SlotsByRegion, regions: int) -> float:
+def remote_weight(region: "RegionId", slots: SlotsByRegion, region_count: int) -> float:
     """Relative weight of a slot of a region for the objects of other regions."""
-    own = slots.get(region, 0)
-    if not own:
+    own_slots = slots.get(region, 0)
+    if not own_slots:
         return 0.0
-    return max(_MIN_REMOTE_WEIGHT, (own - _needed_slots(slots, regions)) / own)
+    return max(_MIN_REMOTE_WEIGHT, (own_slots - _needed_slots(slots, region_count)) / own_slots)
 
 
-def _needed_slots(slots: SlotsByRegion, regions: int) -> float:
+def _needed_slots(slots: SlotsByRegion, region_count: int) -> float:
     """Slots that the callers of one region keep busy, assuming equal demand of all regions."""
-    return _BUSY_FRACTION * sum(slots.values()) / max(1, regions)
+    return _BUSY_FRACTION * sum(slots.values()) / max(1, region_count)
 
 
 #: Fraction of all slots that is assumed to be busy. Targets with more load have queues, and
 #: requests beyond the capacity of the region spill to the second candidate.
 _BUSY_FRACTION = 0.6
-#: Minimum weight of a full region, so that it still takes what others can't.
+#: Minimum weight of a region without spare slots, so that it still serves what others can't.
 _MIN_REMOTE_WEIGHT = 0.02
 
 
 class RateLimitedFraction:
-    """A fraction that follows its aim at a bounded rate.
+    """A fraction that moves towards its goal at a bounded rate.
 
     :param now: monotonic time.
-    :param aim: initial value.
+    :param goal: initial value.
     """
 
-    __slots__ = ("_at", "value")
+    __slots__ = ("_updated_at", "value")
 
-    def __init__(self, now: float, aim: float) -> None:
-        self._at = now
-        self.value = aim
+    def __init__(self, now: float, goal: float) -> None:
+        self._updated_at = now
+        self.value = goal
 
-    def follow(self, now: float, aim: float, per_s: float) -> float:
-        """Moves the value towards ``aim`` by at most ``per_s`` a second, and returns it."""
-        most = per_s * (now - self._at)
-        self._at = now
-        self.value += min(max(aim - self.value, -most), most)
+    def follow(self, now: float, goal: float, per_s: float) -> float:
+        """Moves the value towards ``goal`` by at most ``per_s`` a second, and returns it."""
+        max_change = per_s * (now - self._updated_at)
+        self._updated_at = now
+        self.value += min(max(goal - self.value, -max_change), max_change)
         return self.value
 
 
 def hash_position(key: bytes) -> float:
-    """Position of an object from 0 to 1; those below the local fraction stay in their region."""
-    return _number(hashlib.blake2b(key, digest_size=8, person=b"place").digest())
+    """Hash of an object as a number from 0 to 1.
+
+    Objects below the local fraction are served in the region of their callers.
+    """
+    return _to_unit_interval(hashlib.blake2b(key, digest_size=8, person=b"place").digest())
 
 
 def rendezvous_score(target_id: "TargetId", key: bytes, weight: float) -> float:
     """Score of a target in weighted rendezvous hashing; the highest one is selected."""
     digest = hashlib.blake2b(target_id.encode(), key=key[:64], digest_size=8).digest()
-    return -weight / math.log(_number(digest))
+    return -weight / math.log(_to_unit_interval(digest))
 
 
-def _number(digest: bytes) -> float:
+def _to_unit_interval(digest: bytes) -> float:
+    """Maps a digest evenly to numbers from 0 to 1, but never to 0, which has no logarithm."""
     return ((int.from_bytes(digest, "big") >> 11) + 0.5) / _HASH_RANGE
 
 
@@ -93,8 +97,8 @@
     first: "t.Sequence[TargetState]", second: "t.Sequence[TargetState]"
 ) -> "t.Iterator[TargetState]":
     """Yields from both sequences in turn, then the rest of the longer one."""
-    for number in range(max(len(first), len(second))):
-        if number < len(first):
-            yield first[number]
-        if number < len(second):
-            yield second[number]
+    for index in range(max(len(first), len(second))):
+        if index < len(first):
+            yield first[index]
+        if index < len(second):
+            yield second[index]
--- a/src/coralfall/placement/quarantine.py
+++ b/src/coralfall/placement/quarantine.py
@@ -67,7 +67,7 @@
         self.learnt_at = now
 
     @property
-    def counted(self) -> t.Set[CrashDigest]:
+    def uncleared(self) -> t.Set[CrashDigest]:
         """Crashes that it may have caused."""
         return self.crashes - self.cleared
 
@@ -117,7 +117,7 @@
         self._clock = clock
         self._by_fingerprint: t.Dict[Fingerprint, _Record] = {}
         self._by_crash: t.Dict[CrashDigest, t.Set[Fingerprint]] = {}
-        self._suspects_by_head: t.Dict[int, int] = {}
+        self._suspect_count_by_head: t.Dict[int, int] = {}
         self._quarantined: t.FrozenSet[Fingerprint] = frozenset()
         #: Cached until a change, since it is read many times a second.
         self._checksum: t.Optional[int] = None
@@ -138,7 +138,7 @@
 
     def has_suspect_head(self, head: int) -> bool:
         """Whether some suspect has this head, so that the body has to be hashed, too."""
-        return head in self._suspects_by_head
+        return head in self._suspect_count_by_head
 
     def refused_count(self) -> int:
         """Number of quarantined requests."""
@@ -171,7 +171,7 @@
             return False
         if not self.runs_trial(fingerprint):
             return False
-        log.info("request.tried", fingerprint=fingerprint, crashes=len(record.counted))
+        log.info("request.tried", fingerprint=fingerprint, crashes=len(record.uncleared))
         record.tried = True
         record.learnt_at = now
         self._checksum = None
@@ -197,7 +197,7 @@
     def record_answer(self, fingerprint: Fingerprint) -> None:
         """Records that a target answered a request, which clears it of its crashes so far."""
         record = self._by_fingerprint.get(fingerprint)
-        if record is None or not record.counted:
+        if record is None or not record.uncleared:
             return
         record.cleared |= record.crashes
         record.learnt_at = self._clock.monotonic()
@@ -225,7 +225,7 @@
         now = self._clock.monotonic()
         since = now - defaults.GOSSIP_UPDATE_TTL_S
         recent = [one for one in self._by_fingerprint.values() if one.learnt_at > since]
-        recent.sort(key=lambda one: (len(one.counted), one.learnt_at), reverse=True)
+        recent.sort(key=lambda one: (len(one.uncleared), one.learnt_at), reverse=True)
         return tuple([one.suspect(now) for one in recent[: defaults.MAX_GOSSIP_SUSPECT_REQUESTS]])
 
     def snapshot(self) -> t.Tuple[Suspect, ...]:
@@ -249,7 +249,7 @@
         surplus = len(self._by_fingerprint) - len(expired) - defaults.MAX_SUSPECT_REQUESTS
         if surplus > 0:
             kept = [one for one in self._by_fingerprint.values() if one.seen_at > since]
-            kept.sort(key=lambda one: (len(one.counted), one.seen_at))
+            kept.sort(key=lambda one: (len(one.uncleared), one.seen_at))
             expired += kept[:surplus]
         if not expired:
             return
@@ -261,8 +261,8 @@
         record = self._by_fingerprint.get(fingerprint)
         if record is None:
             record = self._by_fingerprint[fingerprint] = _Record(fingerprint, seen_at)
-            self._suspects_by_head[fingerprint.head] = (
-                self._suspects_by_head.get(fingerprint.head, 0) + 1
+            self._suspect_count_by_head[fingerprint.head] = (
+                self._suspect_count_by_head.get(fingerprint.head, 0) + 1
             )
         return record
 
@@ -284,9 +284,9 @@
             if not suspects:
                 del self._by_crash[crash]
         head = record.fingerprint.head
-        self._suspects_by_head[head] -= 1
-        if not self._suspects_by_head[head]:
-            del self._suspects_by_head[head]
+        self._suspect_count_by_head[head] -= 1
+        if not self._suspect_count_by_head[head]:
+            del self._suspect_count_by_head[head]
 
     def _reevaluate(self, evidence: t.Optional[str]) -> None:
         """Recomputes which requests are quarantined, after a change for the reason ``evidence``."""
@@ -305,7 +305,7 @@
             log.warning(
                 "request.quarantined",
                 fingerprint=fingerprint,
-                crashes=len(record.counted),
+                crashes=len(record.uncleared),
                 alone=self._count_exclusive_crashes(record),
                 callers=len(record.callers),
                 evidence=evidence,
@@ -315,7 +315,7 @@
         self._quarantined = quarantined
 
     def _should_quarantine(self, record: _Record) -> bool:
-        crashes = len(record.counted)
+        crashes = len(record.uncleared)
         if crashes < defaults.QUARANTINE_CRASHES:
             return False
         if crashes >= defaults.QUARANTINE_AMBIGUOUS_CRASHES:
@@ -324,13 +324,13 @@
 
     def _count_exclusive_crashes(self, record: _Record) -> int:
         """Number of its crashes at which no other suspect with as many crashes was in flight."""
-        crashes = len(record.counted)
-        alone = 0
-        for crash in record.counted:
+        crashes = len(record.uncleared)
+        exclusive = 0
+        for crash in record.uncleared:
             others = self._by_crash[crash] - {record.fingerprint}
-            if all(len(self._by_fingerprint[other].counted) < crashes for other in others):
-                alone += 1
-        return alone
+            if all(len(self._by_fingerprint[other].uncleared) < crashes for other in others):
+                exclusive += 1
+        return exclusive
 
 
 def crash_digest(target_id: "TargetId", born: t.Optional[int]) -> CrashDigest:
--- a/src/coralfall/placement/retry_budget.py
+++ b/src/coralfall/placement/retry_budget.py
@@ -1,7 +1,7 @@
 """Retry budget: bounds the sends beyond the first of each request, over all entries together.
 
 Requests and additional sends are counted in a sliding window; the additional sends of a service may
-make up a fixed ratio of its requests, plus this entry's part of a fixed number.
+make up a fixed ratio of its requests, plus this entry's share of a fixed number.
 """
 
 import collections
@@ -22,7 +22,8 @@
     """Counts the events of a sliding window, by slices of time."""
 
     def __init__(self, span_s: float) -> None:
-        self._slices = int(span_s / _SLICE_S) + 1
+        self._slice_count = int(span_s / _SLICE_S) + 1
+        #: Number of each slice and the events in it, the oldest first.
         self._counts: t.Deque[t.Tuple[int, int]] = collections.deque()
         self.total = 0
 
@@ -35,13 +36,13 @@
         self.total += 1
 
     def trim(self, now: float) -> None:
-        oldest = int(now / _SLICE_S) - self._slices
+        oldest = int(now / _SLICE_S) - self._slice_count
         while self._counts and self._counts[0][0] < oldest:
             self.total -= self._counts.popleft()[1]
 
 
 class SharedRetryBudget:
-    """This entry's part of the additional sends that are allowed for each service.
+    """This entry's share of the additional sends that are allowed for each service.
 
     The ratio applies to the entry's own requests; the fixed number is divided among the entries.
     Where that rounds to nothing, the ratio alone counts.
--- a/src/coralfall/placement/slow_targets.py
+++ b/src/coralfall/placement/slow_targets.py
@@ -1,7 +1,7 @@
 """Slow targets: detects latency outliers among the targets of a service and lowers their share.
 
-Targets of one service may differ in speed. One that takes three times as long as its neighbours
-with cached objects is late with all its objects, while others are idle. So each entry samples the
+Targets of one service may differ in speed. One that takes three times as long as the others for
+cached objects is late with all its objects, while others are idle. So each entry samples the
 latency of its targets, from requests for cached objects that met no queue, and a slow target keeps
 only a fraction of the objects that its hash assigns to it. The others go to the next target of
 their ranking in the same region. Entries do not coordinate; a hash selects the objects that move,
@@ -21,11 +21,11 @@
 #: Most samples that are kept of each target, and the fewest that give a median.
 _MAX_SAMPLES = 8
 _MIN_SAMPLES = 3
-#: Seconds after which a sample expires.
+#: Seconds after which a sample is ignored.
 _SAMPLE_TTL_S = 15.0
 #: Multiple of the latency of a region's faster targets up to which a target is not slow.
 _SLOW_MULTIPLE = 1.25
-#: Seconds by which times may differ for reasons other than the target's speed.
+#: Seconds by which latencies may differ for reasons other than the target's speed.
 _SLOW_MARGIN_S = 0.02
 #: Minimum fraction of its objects that a target keeps, so that its recovery is noticed.
 _MIN_KEPT_FRACTION = 0.1
@@ -35,11 +35,12 @@
 
 
 class LatencySamples:
-    """Recent times of one target with cached objects."""
+    """Recent latencies of one target for cached objects."""
 
     __slots__ = ("_samples",)
 
     def __init__(self) -> None:
+        #: Time of recording and latency in seconds of each sample.
         self._samples: t.Deque[t.Tuple[float, float]] = collections.deque(maxlen=_MAX_SAMPLES)
 
     def record(self, now: float, seconds: float) -> None:
@@ -48,14 +49,14 @@
 
     def median_s(self, now: float) -> t.Optional[float]:
         """Median of the samples in seconds, or None if there are too few."""
-        counting = [seconds for at, seconds in self._samples if at > now - _SAMPLE_TTL_S]
-        if len(counting) < _MIN_SAMPLES:
+        recent_s = [seconds for at, seconds in self._samples if at > now - _SAMPLE_TTL_S]
+        if len(recent_s) < _MIN_SAMPLES:
             return None
-        return statistics.median(counting)
+        return statistics.median(recent_s)
 
 
 class SlowTargetDetector:
-    """Computes the fraction of its objects that each target keeps.
+    """Finds the slow targets of each service, and the fraction of its objects that each one keeps.
 
     :param targets: all targets.
     :param region_of: returns the region of a target.
@@ -85,33 +86,35 @@
 
     def keeps_object(self, state: "TargetState", key: bytes) -> bool:
         """Whether a target keeps an object that its hash assigns to it."""
-        part = self.kept_fraction(state)
-        return part >= 1.0 or _hash_position(key, state.target.target_id) < part
+        fraction = self.kept_fraction(state)
+        return fraction >= 1.0 or _hash_position(key, state.target.target_id) < fraction
 
     def _compare(self, service: "ServiceId", now: float) -> t.Dict["TargetId", float]:
-        """Kept parts of the slow targets."""
-        typical_by_region: t.Dict[t.Optional["RegionId"], t.List[t.Tuple[float, "TargetState"]]] = (
+        """Fraction of its objects that each slow target of a service keeps."""
+        medians_by_region: t.Dict[t.Optional["RegionId"], t.List[t.Tuple[float, "TargetState"]]] = (
             {}
         )
         for state in self._targets.of_service(service):
             median_s = state.latencies.median_s(now)
             if median_s is not None:
-                typical_by_region.setdefault(self._region_of(state), []).append((median_s, state))
-        parts: t.Dict["TargetId", float] = {}
-        for timed in typical_by_region.values():
+                medians_by_region.setdefault(self._region_of(state), []).append((median_s, state))
+        fractions: t.Dict["TargetId", float] = {}
+        for medians in medians_by_region.values():
             slow_above_s = (
-                _lower_quartile([median_s for median_s, _ in timed]) * _SLOW_MULTIPLE
+                _lower_quartile([median_s for median_s, _ in medians]) * _SLOW_MULTIPLE
                 + _SLOW_MARGIN_S
             )
-            for median_s, state in timed:
+            for median_s, state in medians:
                 if median_s > slow_above_s:
-                    parts[state.target.target_id] = max(_MIN_KEPT_FRACTION, slow_above_s / median_s)
-        return parts
+                    fractions[state.target.target_id] = max(
+                        _MIN_KEPT_FRACTION, slow_above_s / median_s
+                    )
+        return fractions
 
 
-def _lower_quartile(times: t.List[float]) -> float:
-    """Lower quartile of the times."""
-    return sorted(times)[len(times) // 4]
+def _lower_quartile(latencies_s: t.List[float]) -> float:
+    """Lower quartile of latencies in seconds."""
+    return sorted(latencies_s)[len(latencies_s) // 4]
 
 
 def _hash_position(key: bytes, target_id: "TargetId") -> float:
--- a/src/coralfall/placement/targets.py
+++ b/src/coralfall/placement/targets.py
@@ -21,9 +21,10 @@
 #: Reasons not to send a request: its target is not in use any more, or is in a cooldown.
 WITHDRAWN = "withdrawn"
 COOLDOWN = "cooldown"
-#: States by which targets are counted.
+#: States by which targets are counted; one that is ejected is "resting".
 _STATES = ("usable", "resting", COOLDOWN, "cold", "leaving", "evacuated", "gone")
-#: Seconds for which a target is assumed to cache an object, and most objects tracked of each.
+#: Seconds for which a target is assumed to cache an object, and maximum number of objects that are
+#: tracked for each target.
 _CACHED_S = 20.0
 _MAX_OBJECTS = 128
 #: Seconds after an answer for which a target counts as serving requests.
@@ -53,7 +54,7 @@
         self._started: t.Dict[int, t.Tuple[float, float]] = {}
         self._start_count = 0
         self._answered_at = -float("inf")
-        #: When this entry last sent a request of each object, the least recent first.
+        #: When this entry last sent a request for each object, the least recent first.
         self._sent_by_object: "collections.OrderedDict[bytes, float]" = collections.OrderedDict()
         self.cold_limiter = SlidingWindowLimiter()
         #: Latencies of requests for cached objects without a queue.
@@ -96,19 +97,19 @@
         self._started.pop(number, None)
 
     def has_cached(self, key: bytes) -> bool:
-        """Whether this entry recently sent it a request of this object, so that it is fast."""
+        """Whether this entry recently sent it a request for this object, so it should be cached."""
         sent_at = self._sent_by_object.get(key)
         return sent_at is not None and self._clock.monotonic() - sent_at < _CACHED_S
 
     def record_object(self, key: bytes) -> None:
-        """Records that a request of this object is sent."""
+        """Records that a request for this object is being sent."""
         self._sent_by_object[key] = self._clock.monotonic()
         self._sent_by_object.move_to_end(key)
         if len(self._sent_by_object) > _MAX_OBJECTS:
             self._sent_by_object.popitem(last=False)
 
     def forget_object(self, key: bytes) -> None:
-        """Records that a request of this object was not sent after all."""
+        """Undoes :meth:`record_object` for a request that was not sent after all."""
         self._sent_by_object.pop(key, None)
 
     def is_unresponsive(self) -> bool:
@@ -138,7 +139,7 @@
         return answered and self.has_room() and not self.cooldown_s()
 
     def accepts_requests(self) -> bool:
-        """Whether a request may be sent to it now, whatever its health."""
+        """Whether its lifetime lasts and it is not in a cooldown, whatever its health."""
         return not self.has_ended and not self.cooldown_s()
 
     def is_usable(self) -> bool:
@@ -150,7 +151,7 @@
         return self._clock.monotonic() < self.cold_until
 
     def record_load(self, running: int, waiting: int) -> None:
-        """Records the load that it reports."""
+        """Records the load that the target reports."""
         self._reported_load = running + waiting
         self._reported_at = self._clock.monotonic()
 
--- a/src/coralfall/placement/tenant_limits.py
+++ b/src/coralfall/placement/tenant_limits.py
@@ -12,8 +12,8 @@
 #: Fraction of the allowed excess over a limit that is used. The rest is for requests that reach
 #: their targets closer together than they were granted.
 _USED_EXCESS_FRACTION = 0.75
-#: Tokens beyond the burst that the buckets hold together, as far as the allowed excess permits: a
-#: part of a bucket that holds less than one token can't grant any request.
+#: Tokens that the buckets of all owners together hold beyond the burst, as far as the allowed
+#: excess permits: an owner whose part holds less than one token can't grant any request.
 _EXTRA_BURST_TOKENS = 3.0
 
 
--- a/src/coralfall/placement/weighted_split.py
+++ b/src/coralfall/placement/weighted_split.py
@@ -12,7 +12,7 @@
 
 
 class WeightedSplit:
-    """Selects backends by a low-discrepancy sequence, so that few requests match the weights.
+    """Selects backends by a low-discrepancy sequence, so that even few requests match the weights.
 
     Each entry starts at a random point of the sequence, so that entries do not select in step.
 
@@ -37,9 +37,9 @@
 
 
 def _backend_at(backends: "t.Sequence[Backend]", position: float) -> "ServiceId":
-    left = position * sum(backend.weight for backend in backends)
+    remaining = position * sum(backend.weight for backend in backends)
     for backend in backends:
-        left -= backend.weight
-        if left < 0:
+        remaining -= backend.weight
+        if remaining < 0:
             return backend.service
     return backends[-1].service
--- a/tests/traffic/test_cooldowns.py
+++ b/tests/traffic/test_cooldowns.py
@@ -26,10 +26,10 @@
     """Three targets, two of them in a cooldown of three seconds."""
 
     def setUp(self) -> None:
-        self.cooling = [make_target(number, born=1000) for number in (1, 2)]
+        self.cooldown_targets = [make_target(number, born=1000) for number in (1, 2)]
         self.spare = make_target(3, born=1000)
-        self.steered = SteeringFixture(*self.cooling, self.spare)
-        for target in self.cooling:
+        self.steered = SteeringFixture(*self.cooldown_targets, self.spare)
+        for target in self.cooldown_targets:
             self.report(target, _COOLDOWN)
 
     def report(self, target: Target, report: TargetReport) -> None:
@@ -72,20 +72,24 @@
         self, _name: str, rows: t.Sequence[t.Optional[t.Dict[str, t.Any]]], used: bool
     ) -> None:
         for changes in rows:
-            row = [] if changes is None else [msgspec.structs.replace(self.cooling[0], **changes)]
+            row = (
+                []
+                if changes is None
+                else [msgspec.structs.replace(self.cooldown_targets[0], **changes)]
+            )
             self.steered.set_targets(self.spare, *row)
             self.steered.clock.advance(1.0)
             self.steered.targets.reports.tick(self.steered.targets.by_id)
         self.assertEqual(used, bool(self.chosen() - {"t3"}))
 
-    def test_others_that_seem_unwell_go_first(self) -> None:
+    def test_ejected_targets_are_preferred_to_those_in_a_cooldown(self) -> None:
         state = self.state_of(self.spare)
         state.record_failure(reached=False)
         self.assertFalse(state.is_usable())
         self.assertEqual({"t3"}, self.chosen())
 
-    def test_after_a_shed_it_is_not_asked_again(self) -> None:
-        state = self.state_of(self.cooling[0])
+    def test_a_target_in_a_cooldown_does_not_count_as_shedding_at_random(self) -> None:
+        state = self.state_of(self.cooldown_targets[0])
         state.record_success()
         self.assertFalse(state.sheds_at_random())
 
@@ -101,14 +105,14 @@
             ("near the end", 2.8, 0.2 + 1.4),
         ]
     )
-    def test_if_all_cool_down_callers_return_in_order_after_the_end(
-        self, _name: str, at_s: float, come_back_s: float
+    def test_if_all_are_in_a_cooldown_callers_retry_in_order_after_its_end(
+        self, _name: str, at_s: float, retry_after_s: float
     ) -> None:
         self.report(self.spare, _COOLDOWN)
         self.steered.clock.advance(at_s)
         refusal = self.refusal()
         self.assertEqual("cooldown", refusal.fields["reason"])
-        self.assertAlmostEqual(come_back_s, refusal.retry_after)
+        self.assertAlmostEqual(retry_after_s, refusal.retry_after)
 
     def test_retries_are_spread_after_the_end(self) -> None:
         """Guards against a thundering herd: callers that arrive evenly also retry evenly."""
@@ -128,7 +132,7 @@
         self.report(self.spare, TargetReport(cooldown_s=1.0))
         self.assertAlmostEqual(1.0, self.refusal().retry_after)
 
-    def test_an_end_that_is_near_keeps_the_least_pause(self) -> None:
+    def test_a_short_cooldown_does_not_undercut_the_minimum_retry_time(self) -> None:
         self.report(self.spare, TargetReport(cooldown_s=0.01))
         self.assertAlmostEqual(defaults.STEER_RETRY_AFTER_S, self.refusal().retry_after)
 
@@ -155,10 +159,10 @@
             ("all cool down", frozenset(), True, 3.0),
         ]
     )
-    def test_when_a_caller_comes_back_that_was_rejected(
-        self, _name: str, regions: t.FrozenSet[t.Any], all_cooling: bool, come_back_s: float
+    def test_when_a_rejected_caller_may_retry(
+        self, _name: str, regions: t.FrozenSet[t.Any], all_cooling: bool, retry_after_s: float
     ) -> None:
-        state = self.state_of(self.cooling[0])
+        state = self.state_of(self.cooldown_targets[0])
         if all_cooling:
             self.report(self.spare, _COOLDOWN)
         if regions:
@@ -167,7 +171,7 @@
             state = self.state_of(far)
             self.report(far, _COOLDOWN)
         found = self.steered.steering.retry_after_s(state, PEDIDOS, regions)
-        self.assertAlmostEqual(come_back_s, found)
+        self.assertAlmostEqual(retry_after_s, found)
 
 
 def rejecting(seconds: str, **fields: str) -> Script:
@@ -255,7 +259,7 @@
         for reply in replies:
             self.assertAlmostEqual(3.0, retry_after(reply) or 0.0, delta=0.5)
 
-    def test_one_at_another_s_address_asks_for_nothing(self) -> None:
+    def test_another_server_at_the_address_starts_no_cooldown(self) -> None:
         async def main() -> float:
             async with RawTarget(rejects_another_s_address) as target:
                 path = Path([target.address])
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -134,7 +134,7 @@
             reservation.release()
         return reservation.state.target.target_id
 
-    def test_entries_agree_without_talking(self) -> None:
+    def test_entries_agree_without_communication(self) -> None:
         targets = [make_target(number) for number in range(20)]
         one = SteeringFixture(*targets)
         other = SteeringFixture(*reversed(targets))
@@ -206,7 +206,7 @@
         reservation = steered.steering.choose(route, PEDIDOS, b"x", tried, again=shed)
         self.assertIs(shed if same else other, reservation.state)
 
-    def test_callers_come_back_when_the_queue_is_gone(self) -> None:
+    def test_callers_retry_when_the_queue_is_empty(self) -> None:
         steered = SteeringFixture(make_target(1))
         steered.steering.admission.record_duration(PEDIDOS, 0.4)
         steered.targets.by_id[TargetId("t1")].record_load(4, 8)
@@ -214,7 +214,7 @@
             self.choose(steered, "x")
         self.assertAlmostEqual(0.9, caught.exception.retry_after)
 
-    def test_late_callers_come_back_last(self) -> None:
+    def test_late_callers_retry_last(self) -> None:
         steered = SteeringFixture(make_target(1))
         steered.targets.by_id[TargetId("t1")].record_load(4, 0)
         with self.assertRaises(RefusedError) as caught:
@@ -351,7 +351,7 @@
             ("silent for long", False, 4, True),
         ]
     )
-    def test_a_target_that_was_down_is_cold_until_its_row_would_tell(
+    def test_a_target_that_was_down_is_cold_until_its_row_is_known(
         self, _name: str, refused: bool, failures: int, cold: bool
     ) -> None:
         steered = SteeringFixture(make_target(1))
@@ -459,7 +459,7 @@
             ("nowhere else", 3, 0, 1.0),
         ]
     )
-    def test_part_that_stays(self, _name: str, near: int, far: int, part: float) -> None:
+    def test_fraction_that_stays_local(self, _name: str, near: int, far: int, part: float) -> None:
         targets = [make_target(number) for number in range(near)]
         targets += [make_target(100 + number, zone=PUERTO) for number in range(far)]
         homes = self.homes(SteeringFixture(*targets))
@@ -477,7 +477,7 @@
                 zones.append(reservation.state.target.zone)
         self.assertEqual([NORTE, NORTE, PUERTO, PUERTO, NORTE, PUERTO], zones)
 
-    def test_the_part_moves_slowly_when_room_does(self) -> None:
+    def test_the_local_fraction_follows_capacity_slowly(self) -> None:
         near = [make_target(number) for number in range(4)]
         far = [make_target(100 + number, zone=PUERTO) for number in range(12)]
         steered = SteeringFixture(*near, *far)
@@ -534,7 +534,7 @@
             self.assertLessEqual(sum(at <= other < at + 1.0 for other in sent), 18.5)
 
     @parameterized.expand([("given back", True), ("another zone", False)])
-    def test_zones_that_are_given_back_are_cold(self, _name: str, returned: bool) -> None:
+    def test_zones_are_cold_after_their_evacuation(self, _name: str, returned: bool) -> None:
         zone = PUERTO if returned else NORTE
         steered = SteeringFixture(make_target(1, zone=zone))
         steered.targets.evacuate(frozenset({PUERTO}))
--- a/tests/traffic/test_departures.py
+++ b/tests/traffic/test_departures.py
@@ -78,7 +78,7 @@
         known.learn_targets(2, self.other)
         self.assertEqual({"t2"}, set(known.steered.targets.by_id))
 
-    def test_after_a_shed_it_is_not_asked_again(self) -> None:
+    def test_a_leaving_target_that_shed_a_request_is_not_retried(self) -> None:
         shed = self.steered.targets.by_id[self.target.target_id]
         shed.record_success()
         reservation = self.steered.steering.choose(make_route(), PEDIDOS, b"x", ("t1",), again=shed)
@@ -127,7 +127,7 @@
             (ok, False),
         ]
     )
-    def test_what_an_answer_says(self, script: Script, leaving: bool) -> None:
+    def test_whether_an_answer_announces_a_departure(self, script: Script, leaving: bool) -> None:
         async def main() -> bool:
             async with RawTarget(script) as target:
                 path = Path([target.address])
@@ -162,16 +162,16 @@
     def known(self) -> t.List[bool]:
         return [one.reports.departures.includes(self.target) for one in self.fleet]
 
-    def sums(self) -> t.Set[int]:
+    def checksums(self) -> t.Set[int]:
         return {one.reports.departures.checksum() for one in self.fleet}
 
-    def test_others_hear_who_leaves(self) -> None:
+    def test_departures_are_gossiped(self) -> None:
         self.ask(1, 0)
         self.ask(2, 1)
         self.assertEqual([True] * 3, self.known())
-        self.assertEqual(1, len(self.sums()))
+        self.assertEqual(1, len(self.checksums()))
 
-    def test_one_that_missed_the_news_hears_of_all(self) -> None:
+    def test_an_entry_that_missed_the_updates_gets_the_snapshot(self) -> None:
         self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S - 1.0)
         self.tick(self.target)
         self.clock.advance(2.0)
@@ -180,23 +180,23 @@
         self.ask(1, 0)
         self.assertEqual([True, True, False], self.known())
 
-    def test_once_its_row_is_gone_nothing_is_told(self) -> None:
+    def test_a_departure_without_a_row_is_not_gossiped(self) -> None:
         self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S + 1.0)
         self.tick()
-        self.assertEqual({0}, self.sums())
+        self.assertEqual({0}, self.checksums())
         self.ask(1, 0)
         self.assertEqual([True, False, False], self.known())
 
-    def test_a_new_lifetime_is_nobody_s_news(self) -> None:
+    def test_a_new_lifetime_under_the_id_is_not_leaving(self) -> None:
         self.ask(1, 0)
         anew = make_target(born=2000)
         self.assertFalse(self.fleet[1].reports.departures.includes(anew))
 
-    def test_entries_of_the_version_before_are_understood(self) -> None:
+    def test_messages_of_the_previous_version_are_decoded(self) -> None:
         whole = msgspec.msgpack.decode(msgspec.msgpack.encode(self.fleet[0].exchange.news()))
-        before = whole[: 1 + GossipMessage.__struct_fields__.index("departures")]
-        told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
-        self.assertEqual(((), 0), (told.departures, told.departures_sum))
+        older = whole[: 1 + GossipMessage.__struct_fields__.index("departures")]
+        decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(older), type=GossipMessage)
+        self.assertEqual(((), 0), (decoded.departures, decoded.departures_sum))
 
 
 def _sent(news: GossipMessage) -> GossipMessage:
--- a/tests/traffic/test_quarantine.py
+++ b/tests/traffic/test_quarantine.py
@@ -55,17 +55,23 @@
             # It can't be told yet which of them is the cause; two more sends show it.
             ("one beside it each time", ["xa", "xa", "xa"], ""),
             ("one beside it but the last time", ["xa", "xa", "xa", "x"], "x"),
-            ("as long as can be borne", ["xa", "xa", "xa", "xa", "xa"], "xa"),
+            (
+                "two that are still ambiguous after five crashes",
+                ["xa", "xa", "xa", "xa", "xa"],
+                "xa",
+            ),
             ("one beside it three times of many", ["xa", "xa", "xa", "x", "x", "x"], "x"),
             ("two at fault at a time", ["xy", "x", "y", "x", "y", "x", "y"], "xy"),
             ("many, each of them once", ["abc", "def", "ghi", "xyz"], ""),
         ]
     )
-    def test_who_is_at_fault(self, _name: str, in_hand: t.Sequence[str], found: str) -> None:
+    def test_which_requests_are_quarantined(
+        self, _name: str, in_flight: t.Sequence[str], expected: str
+    ) -> None:
         quarantine = Quarantine(600.0, ManualClock(100.0))
-        for number, requests in enumerate(in_hand):
+        for number, requests in enumerate(in_flight):
             crash(quarantine, f"t{number}", *requests)
-        self.assertEqual(set(found), refused(quarantine, *"abcdefghixyz"))
+        self.assertEqual(set(expected), refused(quarantine, *"abcdefghixyz"))
 
     def test_two_entries_that_saw_one_crash_count_it_once(self) -> None:
         quarantine = Quarantine(600.0, ManualClock(100.0))
@@ -73,7 +79,7 @@
             crash(quarantine, "t1", "x")
         self.assertEqual(set(), refused(quarantine, "x"))
 
-    def test_an_answered_request_is_not_at_fault(self) -> None:
+    def test_an_answered_request_is_not_quarantined(self) -> None:
         quarantine = Quarantine(600.0, ManualClock(100.0))
         for number in range(9):
             crash(quarantine, f"t{number}", "x")
@@ -83,7 +89,7 @@
             crash(quarantine, f"t{number}", "x")
         self.assertEqual({"x"}, refused(quarantine, "x"))
 
-    def test_another_caller_s_like_request_is_not_held_back(self) -> None:
+    def test_another_caller_s_equal_request_is_not_blocked(self) -> None:
         quarantine = Quarantine(600.0, ManualClock(100.0))
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
@@ -94,8 +100,8 @@
 
     @parameterized.expand(
         [
-            ("it comes still", 500.0, 10, True),
-            ("it comes no more", 601.0, 1, False),
+            ("it still arrives", 500.0, 10, True),
+            ("it no longer arrives", 601.0, 1, False),
         ]
     )
     def test_how_long_it_is_refused(
@@ -135,8 +141,8 @@
         clock = ManualClock(100.0)
         quarantine = Quarantine(600.0, clock)
         quarantine.runs_trial = lambda fingerprint: first
-        told: t.List[bool] = []
-        quarantine.on_update = told.append
+        urgent_flags: t.List[bool] = []
+        quarantine.on_update = urgent_flags.append
         first = True
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
@@ -145,9 +151,9 @@
         first = False
         self.assertFalse(quarantine.start_trial(named("x")))
         first = True
-        del told[:]
+        del urgent_flags[:]
         self.assertTrue(quarantine.start_trial(named("x")))
-        self.assertEqual([True], told)
+        self.assertEqual([True], urgent_flags)
         # There is one trial only, and other attempts are rejected meanwhile.
         self.assertFalse(quarantine.start_trial(named("x")))
         self.assertEqual({"x"}, refused(quarantine, "x"))
@@ -181,10 +187,10 @@
         known.members.merge_records([make_record(f"e{number}") for number in range(4)])
         return known
 
-    def ask(self, one: EntryFixture, other: EntryFixture) -> None:
+    def ask(self, asker: EntryFixture, asked: EntryFixture) -> None:
         """One entry exchanges gossip with another."""
-        other.exchange.take(one.exchange.news())
-        one.exchange.take(other.exchange.answer(one.exchange.news()))
+        asked.exchange.take(asker.exchange.news())
+        asker.exchange.take(asked.exchange.answer(asker.exchange.news()))
 
     def blocks(self, *entries: EntryFixture) -> t.List[bool]:
         return [bool(refused(known.quarantine, "x")) for known in entries]
@@ -195,7 +201,7 @@
             crash(self.fleet[number].quarantine, f"t{number}", "x")
             self.ask(self.fleet[number + 1], self.fleet[number])
 
-    def test_what_each_saw_counts_together(self) -> None:
+    def test_crashes_seen_by_different_entries_add_up(self) -> None:
         self.crash_three()
         self.assertEqual([False, False, True, True], self.blocks(*self.fleet))
         self.ask(self.fleet[0], self.fleet[3])
@@ -203,24 +209,24 @@
 
     @parameterized.expand(
         [
-            ("one that was cut off or stood still", 30.0, False),
-            ("one that was away for minutes", 500.0, False),
-            ("one that was started anew", 30.0, True),
+            ("an entry that was partitioned or paused", 30.0, False),
+            ("an entry that was away for minutes", 500.0, False),
+            ("an entry that was restarted", 30.0, True),
         ]
     )
-    def test_who_missed_it_learns_it_from_the_first_that_it_asks(
-        self, _name: str, away_s: float, anew: bool
+    def test_an_entry_that_missed_it_learns_it_in_one_exchange(
+        self, _name: str, away_s: float, restarted: bool
     ) -> None:
         away = self.fleet[0]
         self.crash_three()
         # Longer than updates are gossiped.
         self.clock.advance(away_s)
-        if anew:
+        if restarted:
             away = self.entry("e0")
         self.ask(away, self.fleet[3])
         self.assertEqual([True], self.blocks(away))
 
-    def test_what_one_forgets_sooner_comes_back_as_old_as_it_is(self) -> None:
+    def test_a_suspect_that_expired_returns_with_its_age(self) -> None:
         self.crash_three()
         for known in self.fleet:
             self.ask(known, self.fleet[3])
@@ -249,8 +255,8 @@
         whole = msgspec.msgpack.decode(encoded)
         # The first element is the tag of the message.
         before = whole[: 1 + GossipMessage.__struct_fields__.index("suspects")]
-        told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
-        self.assertEqual(((), 0), (told.suspects, told.suspects_sum))
+        decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
+        self.assertEqual(((), 0), (decoded.suspects, decoded.suspects_sum))
         self.assertEqual(before, msgspec.msgpack.decode(encoded)[: len(before)])
         self.assertEqual(news.records, msgspec.msgpack.decode(encoded, type=EarlierNews).records)
 
@@ -283,10 +289,10 @@
         self.assertEqual([False], self.blocks(self.fleet[0]))
 
     def test_a_repeated_suspect_is_an_urgent_update(self) -> None:
-        told: t.List[bool] = []
+        urgent_flags: t.List[bool] = []
         quarantine = self.fleet[0].quarantine
-        quarantine.on_update = told.append
+        quarantine.on_update = urgent_flags.append
         crash(quarantine, "t0", "x", "a")
         crash(quarantine, "t1", "b")
         crash(quarantine, "t2", "x", "c")
-        self.assertEqual([False, False, True], told)
+        self.assertEqual([False, False, True], urgent_flags)
--- a/tests/traffic/test_quarantine_fleet.py
+++ b/tests/traffic/test_quarantine_fleet.py
@@ -79,10 +79,10 @@
             await asyncio.sleep(_CRASH_S)
             self.crashed_at.append(self.clock.monotonic())
             # An innocent request was in flight there, too.
-            beside = Fingerprint(HeadDigest(100 + number), 2)
-            in_hand = [(POISON, CALLER), (beside, CALLER)]
+            innocent = Fingerprint(HeadDigest(100 + number), 2)
+            in_flight = [(POISON, CALLER), (innocent, CALLER)]
             crash = crash_digest(TargetId(f"t{number}"), 1)
-            known.quarantine.record_crash(crash, in_hand)
+            known.quarantine.record_crash(crash, in_flight)
 
     async def play(self, seconds: float) -> None:
         until = self.clock.monotonic() + seconds
@@ -104,7 +104,7 @@
             ("today, no push arrives", 12, False),
             ("the large site", 195, True),
             ("the large site, no push arrives", 195, False),
-            ("the letter's", 530, True),
+            ("the largest fleet", 530, True),
         ]
     )
     def test_all_entries_know_it_in_time(self, _name: str, count: int, pushes: bool) -> None:
--- a/tests/traffic/test_quota_ledger.py
+++ b/tests/traffic/test_quota_ledger.py
@@ -246,20 +246,26 @@
             ("sent to an earlier lifetime", {"incarnation": Incarnation(6)}, (0, False)),
             ("never answered", {"incarnation": None}, (0, False)),
             ("so old that it is over", {"answered_s": -900.0}, (0, False)),
-            ("from what is still to come", {"answered_s": 101.0}, (0, False)),
-            ("of a slot that is none", {"slots": (SlotGroup(None, (SLOT_COUNT, -1)),)}, (0, False)),
+            ("from the future", {"answered_s": 101.0}, (0, False)),
+            (
+                "of slots that do not exist",
+                {"slots": (SlotGroup(None, (SLOT_COUNT, -1)),)},
+                (0, False),
+            ),
         ]
     )
-    def test_what_is_lent(self, _name: str, changes: t.Any, expected: t.Tuple[int, bool]) -> None:
+    def test_which_leases_count(
+        self, _name: str, changes: t.Any, expected: t.Tuple[int, bool]
+    ) -> None:
         self.assertEqual(expected, self.grant(**changes))
 
-    def test_one_that_leaves_grants_nothing_and_says_so(self) -> None:
+    def test_a_leaving_owner_grants_nothing_and_reports_it(self) -> None:
         state = make_record("x").state.__class__("leaving")
         self.assertEqual((0, True), self.grant(own={"state": state}))
 
 
 class ReplyTest(unittest.TestCase):
-    def test_429_tells_when_to_come_back(self) -> None:
+    def test_429_states_when_to_retry(self) -> None:
         reply = reply_of_error(OverLimitError("over", 0.25, reason="over-limit", detail="e1:0:1:2"))
         self.assertEqual(
             (429, "over-limit", "e1:0:1:2"), (reply.status, reply.reason, reply.detail)
--- a/tests/traffic/test_speed.py
+++ b/tests/traffic/test_speed.py
@@ -24,7 +24,7 @@
 KEYS = 240
 ROUND_S = 1.0
 #: Zones of targets 2 to 9, in other regions; the callers' region can't serve all its objects.
-FAR_ZONES = {**dict.fromkeys(range(2, 6), PUERTO), **dict.fromkeys(range(6, 10), RIO)}
+REMOTE_ZONES = {**dict.fromkeys(range(2, 6), PUERTO), **dict.fromkeys(range(6, 10), RIO)}
 
 
 class TimedTargets:
@@ -56,42 +56,46 @@
 
     def run_round(self, route: t.Optional[Route] = None) -> t.Dict[str, TargetId]:
         """Sends a request for each object, and returns their targets."""
-        homes = {str(key): self.send(route or make_route(), str(key)) for key in range(KEYS)}
+        target_by_key = {
+            str(key): self.send(route or make_route(), str(key)) for key in range(KEYS)
+        }
         self.steered.clock.advance(ROUND_S)
-        return homes
+        return target_by_key
 
     def run_rounds(self, count: int, route: t.Optional[Route] = None) -> t.Dict[str, TargetId]:
         """Runs several rounds, and returns the targets of the last one."""
-        homes = self.run_round(route)
+        target_by_key = self.run_round(route)
         for _ in range(count - 1):
-            homes = self.run_round(route)
-        return homes
+            target_by_key = self.run_round(route)
+        return target_by_key
 
 
-def count_of(homes: t.Dict[str, TargetId], number: int) -> int:
+def count_of(target_by_key: t.Dict[str, TargetId], number: int) -> int:
     """Number of objects of a target."""
-    return list(homes.values()).count(TargetId(f"t{number}"))
+    return list(target_by_key.values()).count(TargetId(f"t{number}"))
 
 
 class SpeedTest(unittest.TestCase):
     @parameterized.expand(
         [
-            ("all alike", 0.15, 1.0, 1.0),
+            ("equally fast", 0.15, 1.0, 1.0),
             ("hardly slower", 0.2, 1.0, 1.0),
             ("twice as slow", 0.3, 0.5, 0.9),
             ("much slower", 3.0, 0.0, 0.35),
             ("faster", 0.05, 1.0, 1.0),
         ]
     )
-    def test_part_that_stays(self, _name: str, took_s: float, least: float, most: float) -> None:
+    def test_fraction_of_objects_that_a_target_keeps(
+        self, _name: str, took_s: float, min_kept: float, max_kept: float
+    ) -> None:
         timed = TimedTargets({1: took_s, 2: 0.15, 3: 0.15, 4: 0.15})
         first = timed.run_round()
         last = timed.run_rounds(8)
-        part = count_of(last, 1) / count_of(first, 1)
-        self.assertGreaterEqual(part, least)
-        self.assertLessEqual(part, most)
+        kept_fraction = count_of(last, 1) / count_of(first, 1)
+        self.assertGreaterEqual(kept_fraction, min_kept)
+        self.assertLessEqual(kept_fraction, max_kept)
 
-    def test_only_objects_of_the_slow_one_move(self) -> None:
+    def test_only_objects_of_the_slow_target_move(self) -> None:
         timed = TimedTargets({1: 1.0, 2: 0.15, 3: 0.15, 4: 0.15})
         first = timed.run_round()
         last = timed.run_rounds(8)
@@ -99,15 +103,15 @@
         self.assertEqual({TargetId("t1")}, moved)
 
     def test_entries_with_similar_samples_move_similar_objects(self) -> None:
-        homes = [
+        targets = [
             TimedTargets({1: took_s, 2: 0.15, 3: 0.15, 4: 0.15}).run_rounds(8)
             for took_s in (0.5, 0.52)
         ]
-        differing = [key for key in homes[0] if homes[0][key] != homes[1][key]]
+        differing = [key for key in targets[0] if targets[0][key] != targets[1][key]]
         self.assertLessEqual(len(differing), 2)
 
     def test_objects_move_only_within_their_region(self) -> None:
-        timed = TimedTargets({**dict.fromkeys(range(1, 10), 0.15), 2: 1.0}, FAR_ZONES)
+        timed = TimedTargets({**dict.fromkeys(range(1, 10), 0.15), 2: 1.0}, REMOTE_ZONES)
         first = timed.run_round()
         last = timed.run_rounds(8)
         self.assertLess(count_of(last, 2), count_of(first, 2))
@@ -117,7 +121,7 @@
     def test_a_distant_region_does_not_count_as_slow(self) -> None:
         """Guards against comparing latencies across regions, as distant targets would seem slow."""
         near = dict.fromkeys(range(1, 6), 0.15)
-        timed = TimedTargets({**near, **dict.fromkeys(range(6, 10), 0.5)}, FAR_ZONES)
+        timed = TimedTargets({**near, **dict.fromkeys(range(6, 10), 0.5)}, REMOTE_ZONES)
         first = timed.run_round()
         self.assertGreater(count_of(first, 6), 0)
         self.assertEqual(first, timed.run_rounds(8))
--- a/tests/traffic/test_target_fleet.py
+++ b/tests/traffic/test_target_fleet.py
@@ -33,10 +33,10 @@
         fleet = LimitFleet(count, clock)
         await fleet.play(_WARMUP_S, per_s)
         fleet.limit_per_s = limit_per_s
-        named_at = clock.monotonic()
+        reported_at = clock.monotonic()
         await scene(fleet, per_s)
         fleet.end()
-        return fleet, named_at
+        return fleet, reported_at
 
     return run_virtual(main)
 
@@ -171,8 +171,8 @@
     def test_a_target_gets_no_more_than_its_limit_allows(
         self, _name: str, scene: Scene, limit: float, count: int
     ) -> None:
-        fleet, named_at = play(scene, count, limit, max(15.0, limit * 4))
-        counted = fleet.counted_at(named_at + TOLD_S)
+        fleet, reported_at = play(scene, count, limit, max(15.0, limit * 4))
+        counted = fleet.counted_at(reported_at + TOLD_S)
         self.assertGreater(len(counted), 0)
         self.assertLessEqual(fullest_window(counted), most_of(limit))
 
@@ -196,7 +196,7 @@
             )
         ]
     )
-    def test_it_is_given_what_its_limit_allows(
+    def test_a_target_receives_the_rate_of_its_limit(
         self, _name: str, limit: float, count: int, among: int
     ) -> None:
         seconds = 30.0
@@ -206,12 +206,12 @@
             await fleet.play(STABLE_S, per_s, entries)
             await fleet.play(seconds, per_s, entries)
 
-        fleet, named_at = play(scene, count, limit, max(15.0, limit * 3))
-        received = [one for one in fleet.arrivals if one.at >= named_at + STABLE_S]
+        fleet, reported_at = play(scene, count, limit, max(15.0, limit * 3))
+        received = [one for one in fleet.arrivals if one.at >= reported_at + STABLE_S]
         self.assertGreaterEqual(len(received), 0.85 * limit * seconds)
 
     @parameterized.expand([(12,), (75,)])
-    def test_one_that_takes_its_word_back_gets_all_again(self, count: int) -> None:
+    def test_a_target_that_withdraws_its_limit_gets_all_requests_again(self, count: int) -> None:
         back_at: t.List[float] = []
 
         async def scene(fleet: LimitFleet, per_s: float) -> None:
@@ -232,7 +232,7 @@
 
 class RecoveryTest(unittest.TestCase):
     @parameterized.expand([("a fresh start", True), ("a cut that is over", False)])
-    def test_one_that_was_away_knows_the_limit_again(self, _name: str, killed: bool) -> None:
+    def test_an_entry_that_was_away_learns_the_limit_again(self, _name: str, killed: bool) -> None:
         async def scene(fleet: LimitFleet, per_s: float) -> None:
             entry = t.cast(LimitEntry, fleet.entries[0])
             fleet.cut([entry])
--- a/tests/traffic/test_target_limits.py
+++ b/tests/traffic/test_target_limits.py
@@ -23,16 +23,16 @@
 class AnswersTest(unittest.TestCase):
     @parameterized.expand(
         [
-            ("never named", [(1, 0, None)], None),
+            ("never reported", [(1, 0, None)], None),
             ("named", [(1, 0, 3.6)], 3.6),
-            ("named again", [(1, 0, 3.6), (2, 1.5, 3.6)], 3.6),
+            ("reported again", [(1, 0, 3.6), (2, 1.5, 3.6)], 3.6),
             ("lowered", [(1, 0, 3.6), (2, 1.5, 0.4)], 0.4),
             ("lowered, sent before", [(1, 0, 3.6), (2, 0.5, 0.4)], 0.4),
             ("raised", [(1, 0, 3.6), (2, 1.5, 7.0)], 7.0),
             ("raised, sent before", [(1, 0, 3.6), (2, 0.5, 7.0)], 3.6),
-            ("taken back", [(1, 0, 3.6), (2, 1.5, None)], None),
-            ("taken back, sent before", [(1, 0, 3.6), (2, 0.5, None)], 3.6),
-            ("taken back and named anew", [(1, 0, 3.6), (2, 1.5, None), (3, 2.5, 2.0)], 2.0),
+            ("no longer reported", [(1, 0, 3.6), (2, 1.5, None)], None),
+            ("withdrawn, sent before", [(1, 0, 3.6), (2, 0.5, None)], 3.6),
+            ("withdrawn and reported again", [(1, 0, 3.6), (2, 1.5, None), (3, 2.5, 2.0)], 2.0),
             ("nothing at all", [(1, 0, 0.0)], 0.0),
         ]
     )
@@ -98,7 +98,7 @@
         self.ask(2, 1)
         self.assertEqual([3.6, 3.6], [self.known(1), self.known(2)])
 
-    def test_one_that_missed_the_news_hears_of_all_limits(self) -> None:
+    def test_an_entry_that_missed_the_updates_gets_all_limits(self) -> None:
         self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S + 1.0)
         self.tick()
         self.assertEqual((), self.fleet[0].limits.recent_updates())
@@ -109,10 +109,10 @@
     @parameterized.expand(
         [
             # concurrent changes at entries 0 and 1, and the limit that results
-            ("one took it back", [(0, None)], None),
-            ("one raised it", [(0, 7.0)], 7.0),
-            ("one took it back, one lowered it", [(0, None), (1, 2.0)], 2.0),
-            ("one took it back later", [(1, 2.0), (0, 3.0), (0, None)], None),
+            ("one entry saw it withdrawn", [(0, None)], None),
+            ("one entry saw it raised", [(0, 7.0)], 7.0),
+            ("one entry saw it withdrawn, one saw it lowered", [(0, None), (1, 2.0)], 2.0),
+            ("one entry saw it withdrawn later", [(1, 2.0), (0, 3.0), (0, None)], None),
         ]
     )
     def test_all_agree_on_what_came_last(
@@ -128,7 +128,7 @@
         self.assertEqual([expected] * 3, [self.known(number) for number in range(3)])
         self.assertEqual(1, len({one.limits.checksum() for one in self.fleet}))
 
-    def test_a_limit_whose_target_is_known_no_more_is_forgotten(self) -> None:
+    def test_the_limit_of_an_unknown_target_is_removed(self) -> None:
         self.clock.advance(10.0)
         self.fleet[0].limits.tick({})
         self.assertEqual(
@@ -141,8 +141,8 @@
     def test_entries_of_the_version_before_are_understood_and_understand(self) -> None:
         whole = msgspec.msgpack.decode(msgspec.msgpack.encode(self.fleet[0].exchange.news()))
         before = whole[: 1 + GossipMessage.__struct_fields__.index("limits")]
-        told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
-        self.assertEqual(((), 0), (told.limits, told.limits_sum))
+        decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
+        self.assertEqual(((), 0), (decoded.limits, decoded.limits_sum))
 
 
 class ParseTest(unittest.TestCase):
--- a/tests/traffic/test_target_reports.py
+++ b/tests/traffic/test_target_reports.py
@@ -107,21 +107,21 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
-        self.book = TargetRegistry(self.clock)
+        self.registry = TargetRegistry(self.clock)
         self.target = make_target(born=1000)
         self.set_rows(self.target)
 
     @property
     def reports(self) -> TargetReports:
-        return self.book.reports
+        return self.registry.reports
 
     def set_rows(self, *targets: Target) -> None:
         """Replaces all rows."""
-        self.book.update({target.target_id: target for target in targets})
+        self.registry.update({target.target_id: target for target in targets})
 
     def report(self, **fields: t.Any) -> None:
-        """The target reports something in the answer to a request that was just sent."""
-        state = self.book.by_id[self.target.target_id]
+        """Records a report in the answer to a request that was just sent."""
+        state = self.registry.by_id[self.target.target_id]
         self.reports.record(state, TargetReport(**fields), self.clock.monotonic())
 
     @parameterized.expand(
@@ -139,17 +139,17 @@
         for at_s, seconds in durations:
             self.clock.now = began + at_s
             self.report(cooldown_s=seconds)
-        self.assertAlmostEqual(began + end_s - self.clock.now, self.left_s())
+        self.assertAlmostEqual(began + end_s - self.clock.now, self.remaining_s())
         self.clock.now = began + end_s
-        self.assertEqual(0.0, self.left_s())
+        self.assertEqual(0.0, self.remaining_s())
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         return self.reports.cooldowns.remaining_s(self.target)
 
     def test_ended_cooldowns_are_removed(self) -> None:
         self.report(cooldown_s=3.0)
         self.clock.advance(3.0)
-        self.reports.tick(self.book.by_id)
+        self.reports.tick(self.registry.by_id)
         self.assertEqual({}, self.reports.cooldowns._by_lifetime)
 
     def test_a_departure_outlasts_its_row_for_a_while(self) -> None:
@@ -157,5 +157,5 @@
         self.set_rows()
         for seconds, known in ((500.0, True), (200.0, False)):
             self.clock.advance(seconds)
-            self.reports.tick(self.book.by_id)
+            self.reports.tick(self.registry.by_id)
             self.assertEqual(known, self.reports.departures.includes(self.target))
