--- a/src/coralfall/defaults.py
+++ b/src/coralfall/defaults.py
@@ -314,8 +314,8 @@
 STEER_LOOKUP_TTL_S = 1.0
 #: Time for which a stopping entry still accepts requests, and its maximum as a fraction of the time
 #: until the process is killed: the requests accepted last have to finish in the rest.
-SHUTDOWN_SERVE_S = 3.0
-SHUTDOWN_SERVE_FRACTION = 0.5
+SHUTDOWN_ACCEPT_S = 3.0
+SHUTDOWN_ACCEPT_FRACTION = 0.5
 #: Factor by which some callers exceed the time for which they may cache a look-up answer.
 LOOKUP_TTL_OVERRUN_FACTOR = 3.0
 #: Maximum number of addresses in a look-up answer; callers accept no more.
--- a/src/coralfall/traffic/settings.py
+++ b/src/coralfall/traffic/settings.py
@@ -68,7 +68,7 @@
 
     def shutdown_accept_s(self) -> float:
         """Returns the seconds for which a stopping entry still accepts requests."""
-        return min(defaults.SHUTDOWN_SERVE_S, self.grace_s * defaults.SHUTDOWN_SERVE_FRACTION)
+        return min(defaults.SHUTDOWN_ACCEPT_S, self.grace_s * defaults.SHUTDOWN_ACCEPT_FRACTION)
 
     def lookup_ttl_s(self) -> float:
         """Returns the seconds for which callers may cache an answer to a look-up.
