--- a/src/coralfall/platform/store.py
+++ b/src/coralfall/platform/store.py
@@ -23,7 +23,13 @@
 from ..ids import Revision
 from ..process import log
 from ..stores.store import Changes, Check, Feed, Row, Table, TransactResult, Write
-from ..traffic.connection import BrokenAnswerError, ServerAnswer, ServerConnection, connect, head_of
+from ..traffic.connection import (
+    BrokenResponseError,
+    ServerConnection,
+    ServerResponse,
+    connect,
+    encode_head,
+)
 from ..traffic.settings import StoreSettings
 from . import names
 
@@ -130,46 +136,46 @@
             raise _status_error(answer)
         return _decode(answer)
 
-    async def _get(self, path: str, wait_s: float) -> ServerAnswer:
-        head = head_of("GET", path, self._settings.address, [])
+    async def _get(self, path: str, wait_s: float) -> ServerResponse:
+        head = encode_head("GET", path, self._settings.address, [])
         reused = self._take_idle()
         if reused is not None:
             try:
                 return await self._call(reused, head, b"", defaults.STORE_REUSED_TIMEOUT_S + wait_s)
-            except (BrokenAnswerError, OSError):
+            except (BrokenResponseError, OSError):
                 # Open connections may all have been cut or no longer transmit while new ones work.
                 self._drop_idle()
         connection = await self._connect()
         try:
             return await self._call(connection, head, b"", self._settings.timeout_s + wait_s)
-        except (BrokenAnswerError, OSError) as error:
+        except (BrokenResponseError, OSError) as error:
             raise PlatformUnavailableError(_no_answer_message(path, error)) from error
 
-    async def _write(self, body: bytes) -> ServerAnswer:
+    async def _write(self, body: bytes) -> ServerResponse:
         fields = [_JSON_HEADER, (b"content-length", str(len(body)).encode())]
-        head = head_of("POST", names.ROWS_TX_PATH, self._settings.address, fields)
+        head = encode_head("POST", names.ROWS_TX_PATH, self._settings.address, fields)
         # A write can't be repeated after its answer was lost, so it is never sent on an idle
         # connection, which may be dead.
         connection = await self._connect()
         try:
             return await self._call(connection, head, body, self._settings.timeout_s)
-        except (BrokenAnswerError, OSError) as error:
+        except (BrokenResponseError, OSError) as error:
             raise PlatformUnknownError(_no_answer_message(names.ROWS_TX_PATH, error)) from error
 
     async def _call(
         self, connection: ServerConnection, head: bytes, body: bytes, seconds: float
-    ) -> ServerAnswer:
+    ) -> ServerResponse:
         self.calls += 1
         async with asyncio.timeout(seconds):
             answer = await connection.exchange(head, body)
-        if connection.reusable:
+        if connection.is_reusable:
             self._idle.append(connection)
         return answer
 
     def _take_idle(self) -> t.Optional[ServerConnection]:
         while self._idle:
             connection = self._idle.pop()
-            if connection.reusable:
+            if connection.is_reusable:
                 return connection
         return None
 
@@ -226,14 +232,14 @@
     return {"table": table, "part": "", "key": name}
 
 
-def _decode(answer: ServerAnswer) -> _Rows:
+def _decode(answer: ServerResponse) -> _Rows:
     try:
         return _rows_decoder.decode(answer.body)
     except msgspec.MsgspecError as error:
         raise PlatformUnavailableError(f"the store's answer can't be decoded: {error}") from error
 
 
-def _status_error(answer: ServerAnswer) -> PlatformError:
+def _status_error(answer: ServerResponse) -> PlatformError:
     message = f"the store answered {answer.status}: {answer.body[:200]!r}"
     if answer.status in (429, 503):
         return PlatformUnavailableError(message, status=answer.status)
--- a/src/coralfall/traffic/follower.py
+++ b/src/coralfall/traffic/follower.py
@@ -20,7 +20,7 @@
     from ..process.clock import Clock
     from ..stores.store import Changes, Feed
     from .members import Members
-    from .pace import Pace
+    from .poll_intervals import PollIntervals
     from .replica import Replica
     from .store_clock import StoreClock
 
@@ -60,7 +60,7 @@
         clock: "Clock",
         store_clock: "StoreClock",
         rng: random.Random,
-        pace: "Pace",
+        pace: "PollIntervals",
         long_poll: bool,
         before_apply: t.Callable[[float], None],
         on_changed: t.Callable[[t.Set[str]], None],
@@ -171,7 +171,7 @@
     async def _wait_for_turn(self) -> None:
         while True:
             age_s = self._age_s()
-            due_s = self.pace.due_s(self._members.rank(), self._long_poll)
+            due_s = self.pace.due_age_s(self._members.rank(), self._long_poll)
             if age_s >= due_s:
                 return
             await asyncio.sleep(max(_CHECK_INTERVAL_S, due_s - age_s))
--- a/src/coralfall/traffic/lookup.py
+++ b/src/coralfall/traffic/lookup.py
@@ -74,7 +74,7 @@
         if self._state_view.routes is None:
             return set()
         regions: t.Set["RegionId"] = set()
-        for route in self._state_view.routes.of_host(host):
+        for route in self._state_view.routes.for_host(host):
             regions |= route.allowed_regions
         return regions
 
--- a/tests/platform_adapter/test_target_limit.py
+++ b/tests/platform_adapter/test_target_limit.py
@@ -7,7 +7,7 @@
 
 from tests.platform_adapter.standins import InstanceStandin
 from tests.platform_adapter.test_processes import ZONES, Installation, run_scenario
-from tests.traffic.quota_fleet import most_in_window
+from tests.traffic.quota_fleet import max_in_window
 
 #: The users' bounds: seconds until the limit must be obeyed, length of the window in seconds, and
 #: the factor and number of requests by which the limit may be exceeded in a window.
@@ -61,7 +61,7 @@
             await callers.send(_MEASURED_S)
             arrived_at = [at for at in home.received_at if at >= measured_from]
             max_requests = FACTOR * _LIMIT_PER_S * WINDOW_S + SLACK
-            self.assertLessEqual(most_in_window(arrived_at, WINDOW_S), max_requests)
+            self.assertLessEqual(max_in_window(arrived_at, WINDOW_S), max_requests)
             self.assertGreaterEqual(len(arrived_at), MIN_UTILISATION * _LIMIT_PER_S * _MEASURED_S)
             # Other targets have capacity for the remaining requests.
             self.assertEqual({200}, set(callers.statuses))
--- a/tests/traffic/test_gossip.py
+++ b/tests/traffic/test_gossip.py
@@ -19,7 +19,7 @@
 from coralfall.traffic.gossip import Gossip, relay_order
 from coralfall.traffic.members import Members
 from coralfall.traffic.messages import GossipMessage
-from coralfall.traffic.pace import pace_of
+from coralfall.traffic.poll_intervals import poll_intervals_for
 from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.makers import make_record, make_settings, make_state, make_target, seeded_rng
 from tests.traffic.test_replicated_state import MemoryFeed
@@ -58,8 +58,8 @@
         if address in self.silent:
             await asyncio.sleep(defaults.GOSSIP_TIMEOUT_S)
             raise PeerUnreachableError("no answer")
-        self.others[address].exchange.take(message)
-        answer = self.others[address].exchange.answer(message)
+        self.others[address].exchange.merge(message)
+        answer = self.others[address].exchange.build_reply(message)
         if answer.targets is not None and not answer.targets.since:
             self.brought_all += 1
         await asyncio.sleep(self.way_s)
@@ -144,7 +144,7 @@
             self.entry.clock,
             state_view.store_clock,
             seeded_rng(),
-            pace=pace_of(2.0),
+            pace=poll_intervals_for(2.0),
             long_poll=of_state,
             before_apply=lambda age: None,
             on_changed=(
--- a/tests/traffic/test_members.py
+++ b/tests/traffic/test_members.py
@@ -450,7 +450,7 @@
         while self.pushes:
             entry = self.pushes.pop()
             others = [record.entry_id for record in entry.members.alive_records()]
-            self._relay(entry.members.own_record.entry_id, entry.exchange.news(), others)
+            self._relay(entry.members.own_record.entry_id, entry.exchange.build_update(), others)
 
     def _relay(self, sender: str, news: GossipMessage, names: t.Sequence[str]) -> None:
         parts = min(defaults.RELAY_FANOUT, len(names))
@@ -468,13 +468,13 @@
             return
         other = self.entries[record.entry_id]
         entry.members.record_probe_success(record.peer_address)
-        news = entry.exchange.news(address=record.peer_address)
+        news = entry.exchange.build_update(address=record.peer_address)
         self._deliver(other, news)
-        self._deliver(entry, other.exchange.answer(news))
+        self._deliver(entry, other.exchange.build_reply(news))
 
     def _deliver(self, entry: EntryFixture, news: GossipMessage) -> None:
         self.sent_bytes.append(len(msgspec.msgpack.encode(news)))
-        entry.exchange.take(news)
+        entry.exchange.merge(news)
 
     def views_of_alive(self) -> t.Set[t.FrozenSet[str]]:
         """Returns the sets of entries that running ones hold alive; a single set if all agree."""
--- a/tests/traffic/test_quarantine.py
+++ b/tests/traffic/test_quarantine.py
@@ -189,8 +189,8 @@
 
     def ask(self, asker: EntryFixture, asked: EntryFixture) -> None:
         """One entry exchanges gossip with another."""
-        asked.exchange.take(asker.exchange.news())
-        asker.exchange.take(asked.exchange.answer(asker.exchange.news()))
+        asked.exchange.merge(asker.exchange.build_update())
+        asker.exchange.merge(asked.exchange.build_reply(asker.exchange.build_update()))
 
     def blocks(self, *entries: EntryFixture) -> t.List[bool]:
         return [bool(refused(known.quarantine, "x")) for known in entries]
@@ -250,7 +250,7 @@
 
     def test_entries_of_the_version_before_are_understood_and_understand(self) -> None:
         self.crash_three()
-        news = self.fleet[3].exchange.news()
+        news = self.fleet[3].exchange.build_update()
         encoded = msgspec.msgpack.encode(news)
         whole = msgspec.msgpack.decode(encoded)
         # The first element is the tag of the message.
@@ -276,7 +276,7 @@
             self.ask(known, self.fleet[3])
         self.assertEqual(1, len({known.quarantine.checksum() for known in self.fleet}))
         self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S + 1)
-        answer = self.fleet[0].exchange.answer(self.fleet[1].exchange.news())
+        answer = self.fleet[0].exchange.build_reply(self.fleet[1].exchange.build_update())
         self.assertEqual((), answer.suspects)
 
     def test_an_answer_clears_it_everywhere(self) -> None:
--- a/tests/traffic/test_replicated_state.py
+++ b/tests/traffic/test_replicated_state.py
@@ -17,7 +17,7 @@
 from coralfall.stores.store import Changes, Feed, Row
 from coralfall.traffic.follower import Follower
 from coralfall.traffic.messages import GossipMessage
-from coralfall.traffic.pace import pace_of
+from coralfall.traffic.poll_intervals import poll_intervals_for
 from coralfall.traffic.replica import Replica
 from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.makers import (
@@ -263,8 +263,8 @@
         ahead.learn_state(3, "state/a", make_state(4))
         ahead.learn_targets(5, make_target(1))
         t.cast(ManualClock, ahead.clock).advance(2.0)
-        answer = ahead.exchange.answer(behind.exchange.news())
-        self.assertFalse(behind.exchange.take(answer, behind.clock.monotonic()))
+        answer = ahead.exchange.build_reply(behind.exchange.build_update())
+        self.assertFalse(behind.exchange.merge(answer, behind.clock.monotonic()))
         self.assertEqual(4, behind.state_view.version)
         self.assertIn(TargetId("t1"), behind.steered.targets.by_id)
         # The age is an upper bound, which exceeds the true age by the assumed drift alone.
@@ -275,13 +275,13 @@
     def test_a_message_with_a_newer_revision_requests_a_pull(self) -> None:
         ahead, behind = EntryFixture("e1"), EntryFixture("e2")
         ahead.learn_state(3, "state/a", make_state(4))
-        self.assertTrue(behind.exchange.take(ahead.exchange.news()))
+        self.assertTrue(behind.exchange.merge(ahead.exchange.build_update()))
 
     def test_known_rows_are_not_sent_again(self) -> None:
         one, other = EntryFixture("e1"), EntryFixture("e2")
         one.learn_state(3, "state/a", make_state(4))
-        other.exchange.take(one.exchange.answer(other.exchange.news()))
-        answer = one.exchange.answer(other.exchange.news())
+        other.exchange.merge(one.exchange.build_reply(other.exchange.build_update()))
+        answer = one.exchange.build_reply(other.exchange.build_update())
         self.assertEqual((None, None), (answer.state, answer.targets))
 
     @parameterized.expand([("by a message that it gets", True), ("by an answer", False)])
@@ -293,17 +293,17 @@
         t.cast(ManualClock, one.clock).advance(60.0)
         self.assertEqual([], one.members.alive_records())
         asker, other = (one, dead) if asks else (dead, one)
-        news = asker.exchange.news(address=other.members.own_record.peer_address)
-        other.exchange.take(news)
-        asker.exchange.take(other.exchange.answer(news))
+        news = asker.exchange.build_update(address=other.members.own_record.peer_address)
+        other.exchange.merge(news)
+        asker.exchange.merge(other.exchange.build_reply(news))
         if not asks:
-            one.exchange.take(dead.exchange.news())
+            one.exchange.merge(dead.exchange.build_update())
         self.assertEqual(["e2"], [record.entry_id for record in one.members.alive_records()])
 
     def test_messages_survive_msgpack(self) -> None:
         entry = EntryFixture()
         entry.learn_state(3, "state/a", make_state(4))
-        news = entry.exchange.news(Revision(0), Revision(0))
+        news = entry.exchange.build_update(Revision(0), Revision(0))
         self.assertEqual(
             news, msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=GossipMessage)
         )
@@ -357,7 +357,7 @@
                 clock,
                 entry.state_view.store_clock,
                 seeded_rng(),
-                pace=pace_of(bound_s),
+                pace=poll_intervals_for(bound_s),
                 long_poll=True,
                 before_apply=lambda age: None,
                 on_changed=entry.state_view.apply_state_changes,
@@ -371,7 +371,7 @@
     def _push(self, number: int, since: Revision) -> None:
         self.push_count += 1
         self.pushed_since.append(since)
-        news = self.entries[number].exchange.news(since, Revision(0))
+        news = self.entries[number].exchange.build_update(since, Revision(0))
         if not self._way_s:
             self._deliver(number, news)
             return
@@ -380,23 +380,23 @@
     def _deliver(self, number: int, news: GossipMessage) -> None:
         for other, receiver in enumerate(self.entries):
             if other != number and not {other, number} & self.cut_off:
-                receiver.exchange.take(news)
+                receiver.exchange.merge(news)
 
     async def exchange_continuously(self, way_s: float, pause_s: float = 0.05) -> None:
         """Lets entries exchange messages continuously; each message takes ``way_s``."""
         rng = seeded_rng()
         while True:
             pairs = [rng.sample(range(len(self.entries)), 2) for _ in self.entries]
-            questions = [self.entries[asker].exchange.news() for asker, _ in pairs]
+            questions = [self.entries[asker].exchange.build_update() for asker, _ in pairs]
             asked_at = self.entries[0].clock.monotonic()
             await asyncio.sleep(way_s)
             answers = []
             for (_, asked), question in zip(pairs, questions, strict=True):
-                self.entries[asked].exchange.take(question)
-                answers.append(self.entries[asked].exchange.answer(question))
+                self.entries[asked].exchange.merge(question)
+                answers.append(self.entries[asked].exchange.build_reply(question))
             await asyncio.sleep(way_s)
             for (asker, _), answer in zip(pairs, answers, strict=True):
-                self.entries[asker].exchange.take(answer, asked_at)
+                self.entries[asker].exchange.merge(answer, asked_at)
             await asyncio.sleep(pause_s)
 
     async def run(self, seconds: float) -> None:
