--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -13,7 +13,7 @@
 from tests.platform_adapter.standins import config
 from tests.traffic.makers import (
     PEDIDOS,
-    Steered,
+    SteeringFixture,
     make_record,
     make_route,
     make_settings,
@@ -30,7 +30,7 @@
 from coralfall.traffic.members import Members
 from coralfall.traffic.model import DesiredState, EntryRecord
 from coralfall.traffic.routes import RouteTable
-from coralfall.traffic.translator import LookupQuestion
+from coralfall.traffic.row_codec import LookupQuery
 
 ENTRIES = (12, 195, 530)
 TARGETS = (20, 360, 1200)
@@ -61,14 +61,14 @@
 def make_members(count: int, clock: ManualClock) -> Members:
     """What one entry knows of a fleet that is well."""
     members = Members(make_entry(0), clock, random.Random(1))
-    members.hear([make_entry(number) for number in range(1, count)])
+    members.merge_records([make_entry(number) for number in range(1, count)])
     return members
 
 
 def cold_share(count: int) -> Call:
     """A look at a cold target, of which there are 40."""
     shares = ColdShares(EntryId("e0"))
-    shares.set_entries(make_members(count, ManualClock(100.0)).all_ids())
+    shares.set_entries(make_members(count, ManualClock(100.0)).known_ids())
     return lambda number: shares.of(TargetId(f"t{number % 40}"), 18.5)
 
 
@@ -81,14 +81,14 @@
 def members_sum(count: int) -> Call:
     """The sum that goes with each message to other entries."""
     members = make_members(count, ManualClock(100.0))
-    return lambda number: members.sum()
+    return lambda number: members.checksum()
 
 
 def reached(count: int) -> Call:
     """Noting that an entry has answered."""
     members = make_members(count, ManualClock(100.0))
     addresses = [make_entry(number).peer_address for number in range(1, count)]
-    return lambda number: members.reached(addresses[number % len(addresses)])
+    return lambda number: members.record_probe_success(addresses[number % len(addresses)])
 
 
 def look_up(count: int) -> Call:
@@ -96,7 +96,7 @@
     members = make_members(count, ManualClock(100.0))
     lookup = Lookup(make_settings(), members, t.cast(t.Any, None))
     return lambda number: lookup.addresses(
-        LookupQuestion(host="a.example", zone=zone_of(number), region=region_of(number))
+        LookupQuery(host="a.example", zone=zone_of(number), region=region_of(number))
     )
 
 
@@ -117,11 +117,11 @@
 
 def take_state(count: int) -> Call:
     """Reading a desired state, and its routes' table."""
-    translator = PlatformTranslator()
+    row_codec = PlatformTranslator()
     data = make_state_row(count)
 
     def call(_number: int) -> None:
-        state = translator.state_row("op/config", data)
+        state = row_codec.decode_state_row("op/config", data)
         assert isinstance(state, DesiredState)
         RouteTable(state)
 
@@ -139,7 +139,7 @@
     zones = {zone_of(number): region_of(number) for number in range(ZONES)}
     settings = make_settings(regions_by_zone=zones, zone=zone_of(0), region=region_of(0))
     targets = [make_target(number, zone=zone_of(number)) for number in range(count)]
-    steering = Steered(*targets, settings=settings).steering
+    steering = SteeringFixture(*targets, settings=settings).steering
     route = make_route()
     numbers = iter(range(10**9))
 
--- a/src/coralfall/peering/messages.py
+++ b/src/coralfall/peering/messages.py
@@ -22,7 +22,7 @@
     ServiceId,
     TargetId,
 )
-from ..traffic.messages import News, PermitReply, PermitRequest, Push
+from ..traffic.messages import GossipMessage, PermitReply, PermitRequest, Push
 from .message import Message as Message
 
 
@@ -122,7 +122,7 @@
     LoanRequest,
     LoanAnswer,
     LoanReturn,
-    News,
+    GossipMessage,
     Push,
     PermitRequest,
     PermitReply,
--- a/src/coralfall/placement/affinity.py
+++ b/src/coralfall/placement/affinity.py
@@ -135,7 +135,7 @@
     def set_state(self, state: "DesiredState") -> None:
         """Steer by this desired state."""
         for service, rules in state.services.items():
-            self._cold_per_s[service] = self.settings.cold_per_s(rules.warmup_per_s)
+            self._cold_per_s[service] = self.settings.cold_limit_per_s(rules.warmup_per_s)
         self._targets.warmup_s_by_service = {
             service: rules.warmup_s for service, rules in state.services.items()
         }
@@ -341,7 +341,7 @@
         part = self._parts.get((service, regions))
         if part is None:
             part = self._parts[service, regions] = SlowPart(now, aim)
-        return part.follow(now, aim, self.settings.bounds.shares_per_s())
+        return part.follow(now, aim, self.settings.bounds.home_shift_per_s())
 
     def _slots_by_region(self, service: "ServiceId", regions: _Regions) -> SlotsByRegion:
         known = self._slots.get((service, regions))
--- a/src/coralfall/platform/http.py
+++ b/src/coralfall/platform/http.py
@@ -7,7 +7,7 @@
 
 from ..ids import RegionId, ZoneId
 from ..process import log
-from ..traffic.translator import LookupQuestion
+from ..traffic.row_codec import LookupQuery
 from . import names
 
 if t.TYPE_CHECKING:
@@ -51,13 +51,13 @@
             await _answer(send, 404, b"{}")
             return
         query = dict(urllib.parse.parse_qsl(scope["query_string"].decode("latin-1")))
-        question = LookupQuestion(
+        question = LookupQuery(
             query.get("name", ""),
             RegionId(query.get("region", "")),
             ZoneId(query.get("zone", "")),
         )
         addresses = self._lookup.addresses(question)
-        self._telemetry.lookup(bool(addresses))
+        self._telemetry.count_lookup(bool(addresses))
         if not addresses:
             log.info("lookup.refused", zone=question.zone, reason="no-entry-ready")
             await _answer(send, 503, b"{}")
--- a/src/coralfall/platform/rows.py
+++ b/src/coralfall/platform/rows.py
@@ -20,7 +20,7 @@
     Target,
     Tenant,
 )
-from ..traffic.translator import Evacuation, StateRow, Translator
+from ..traffic.row_codec import Evacuation, RowCodec, StateRow
 from . import names
 
 _DRAINING = "draining"
@@ -116,7 +116,7 @@
 _entry_decoder = msgspec.msgpack.Decoder(EntryRecord)
 
 
-class PlatformTranslator(Translator):
+class PlatformTranslator(RowCodec):
     """Reads and writes the platform's rows."""
 
     state_prefix = f"{names.STATE_TABLE}/"
@@ -127,7 +127,7 @@
         #: Keys of targets that told when their lifetime began, and so always do.
         self._born_keys: t.Set[str] = set()
 
-    def state_row(self, key: str, data: bytes) -> StateRow:
+    def decode_state_row(self, key: str, data: bytes) -> StateRow:
         name = key.removeprefix(self.state_prefix)
         if name.startswith(names.EVACUATION_PREFIX):
             return Evacuation(ZoneId(name.removeprefix(names.EVACUATION_PREFIX)))
@@ -135,7 +135,7 @@
             return None
         return _desired_state(_decode(_config_decoder, key, data))
 
-    def target_row(self, key: str, data: bytes) -> Target:
+    def decode_target_row(self, key: str, data: bytes) -> Target:
         server = _decode(_server_decoder, key, data)
         born = None if server.born is msgspec.UNSET else server.born
         if born is not None:
@@ -153,10 +153,10 @@
             born=born,
         )
 
-    def entry_row(self, record: EntryRecord) -> t.Tuple[str, bytes]:
+    def encode_entry_row(self, record: EntryRecord) -> t.Tuple[str, bytes]:
         return self.entry_prefix + record.entry_id, msgspec.msgpack.encode(record)
 
-    def read_entry_row(self, key: str, data: bytes) -> EntryRecord:
+    def decode_entry_row(self, key: str, data: bytes) -> EntryRecord:
         return _decode(_entry_decoder, key, data)
 
 
--- a/src/coralfall/platform/run.py
+++ b/src/coralfall/platform/run.py
@@ -13,8 +13,8 @@
 from ..process.supervisor import supervise
 from ..settings import load_settings
 from ..traffic.node import Node, Store
-from ..traffic.reload import Reload
 from ..traffic.settings import SteerSettings
+from ..traffic.settings_reloader import SettingsReloader
 from .http import ReadinessApp, ResolveApp
 from .names import HEADERS
 from .rows import PlatformTranslator
@@ -63,7 +63,9 @@
         SystemClock(),
         random.Random(),
     )
-    root = node.make_tree(ResolveApp(node.lookup, node.telemetry), ReadinessApp(lambda: node.ready))
+    root = node.build_supervisor(
+        ResolveApp(node.lookup, node.telemetry), ReadinessApp(lambda: node.ready)
+    )
     log.info(
         "entry.starting",
         zone=settings.zone,
@@ -71,7 +73,7 @@
         link_mbps=settings.link_mbps,
         seeds=len(settings.seeds),
     )
-    reload = Reload(path, settings, node.apply)
+    reload = SettingsReloader(path, settings, node.apply_settings)
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
     if early.hung_up:
         reload()
--- a/src/coralfall/simulation/entries.py
+++ b/src/coralfall/simulation/entries.py
@@ -88,7 +88,7 @@
         """Start anew."""
         settings = self._settings
         clock = self._agenda.clock
-        self._book = TargetBook(clock, settings.bounds.target_row_s())
+        self._book = TargetBook(clock, settings.bounds.target_visibility_s())
         self.steering = AffinitySteering(settings, self._book, clock)
         self.steering.set_state(_desired_state(self._scenario))
         self.steering.cold_shares.set_entries(self._entry_ids)
--- a/src/coralfall/traffic/callers.py
+++ b/src/coralfall/traffic/callers.py
@@ -16,9 +16,9 @@
     from starlette.types import Receive, Scope, Send
 
     from ..process.clock import Clock
-    from .belief import Belief
     from .forwarder import Forwarder
     from .quotas import Quotas
+    from .state_view import StateView
     from .telemetry import Telemetry
     from .tenants import Identification
     from .wire import HeaderNames
@@ -42,7 +42,7 @@
     def __init__(
         self,
         names: "HeaderNames",
-        belief: "Belief",
+        state_view: "StateView",
         identification: "Identification",
         quotas: "Quotas",
         forwarder: "Forwarder",
@@ -50,7 +50,7 @@
         clock: "Clock",
     ) -> None:
         self._names = names
-        self._belief = belief
+        self._state_view = state_view
         self._identification = identification
         self._quotas = quotas
         self._forwarder = forwarder
@@ -115,7 +115,7 @@
     async def _hold(self, request: SteeredRequest) -> None:
         body = request.body
         assert body is not None
-        limits = self._belief.state.limits if self._belief.state is not None else None
+        limits = self._state_view.state.limits if self._state_view.state is not None else None
         if limits is not None:
             body.limit = limits.max_body_bytes
             if body.length is not None and body.length > limits.max_body_bytes:
@@ -134,7 +134,7 @@
         method = scope["method"]
         if method in _REFUSED_METHODS:
             raise RequestError("method", 405, f"method {method} is not carried")
-        routes = self._belief.routes
+        routes = self._state_view.routes
         if routes is None:
             message = "no desired state is known yet"
             raise RefusedError(message, defaults.COME_BACK_S, reason="no-state")
@@ -157,7 +157,7 @@
             headers,
             body,
             route,
-            self._belief.split.choose(route),
+            self._state_view.split.choose(route),
             request_id,
             key if key is not None else request_id.encode(),
             began + (route.timeout_s if left is None else min(left, route.timeout_s)),
@@ -182,9 +182,9 @@
         reply: t.Optional[Reply],
         began: float,
     ) -> None:
-        belief = self._belief
+        state_view = self._state_view
         if request is None:
-            self._telemetry.refused(reply)
+            self._telemetry.count_rejected(reply)
             name = self._names.request_id
             log.info(
                 "request.refused",
@@ -192,11 +192,11 @@
                 path=scope["path"],
                 status=reply.status if reply else 0,
                 reason=reply.reason if reply else "caller-gone",
-                version=belief.version,
+                version=state_view.version,
             )
             return
         now = self._clock.monotonic()
-        self._telemetry.request(request, reply, now - began)
+        self._telemetry.count_request(request, reply, now - began)
         log.info(
             "request.ended",
             id=request.request_id,
@@ -211,9 +211,9 @@
             sends=",".join([str(send) for send in request.sends]) or "none",
             **_identity(request),
             **({"quota": reply.detail} if reply is not None and reply.detail else {}),
-            version=belief.version,
-            state_age_ms=round(belief.state_age() * 1000),
-            targets_age_ms=round(belief.targets_age() * 1000),
+            version=state_view.version,
+            state_age_ms=round(state_view.state_age_s() * 1000),
+            targets_age_ms=round(state_view.targets_age_s() * 1000),
         )
 
 
--- a/src/coralfall/traffic/exchange.py
+++ b/src/coralfall/traffic/exchange.py
@@ -3,7 +3,7 @@
 import typing as t
 
 from .. import defaults
-from .messages import News
+from .messages import GossipMessage
 
 if t.TYPE_CHECKING:
     from ..ids import Revision
@@ -12,10 +12,10 @@
     from ..placement.target_limits import NamedLimit
     from ..placement.target_reports import TargetReports
     from ..process.clock import Clock
-    from .belief import Belief
     from .delta import Delta
     from .members import Members
     from .replica import Replica
+    from .state_view import StateView
 
 #: Entries for which one more time of patience passes before all of them are asked for.
 _MEMBERS_PER_PATIENCE = 20
@@ -34,14 +34,14 @@
     def __init__(
         self,
         members: "Members",
-        belief: "Belief",
+        state_view: "StateView",
         quarantine: "Quarantine",
         reports: "TargetReports",
         clock: "Clock",
     ) -> None:
         self._members = members
         #: The rows.
-        self.belief = belief
+        self.state_view = state_view
         #: Requests that targets end of.
         self.quarantine = quarantine
         #: What targets say of themselves.
@@ -61,7 +61,7 @@
         suspects: "t.Optional[t.Tuple[Suspect, ...]]" = None,
         limits: "t.Optional[t.Tuple[NamedLimit, ...]]" = None,
         departures: "t.Optional[t.Tuple[Lifetime, ...]]" = None,
-    ) -> News:
+    ) -> GossipMessage:
         """What is known here, with what came after the revisions given.
 
         :param all_members: whether to tell of all entries, and not only what is news.
@@ -72,22 +72,22 @@
         :param wants_rows: whether it is to answer with the rows that are not known here.
         """
         now = self._clock.monotonic()
-        belief = self.belief
+        state_view = self.state_view
         members = self._members
         suspicions = members.all_suspicions() if all_members else members.recent_suspicions()
-        return News(
-            records=members.all_records() if all_members else members.recent(),
+        return GossipMessage(
+            records=members.all_records() if all_members else members.recent_records(),
             suspicions=suspicions + members.suspicions_of(address),
-            members_sum=members.sum(),
+            members_sum=members.checksum(),
             wants_all=self._wants_all(now),
             wants_rows=wants_rows,
-            state_revision=belief.state_rows.revision,
-            targets_revision=belief.target_rows.revision,
-            state_read_s=belief.state_rows.read_s,
-            targets_read_s=belief.target_rows.read_s,
-            store_s=belief.store_clock.latest(),
-            state=_delta(belief.state_rows, state_since),
-            targets=_delta(belief.target_rows, targets_since),
+            state_revision=state_view.state_rows.revision,
+            targets_revision=state_view.target_rows.revision,
+            state_read_s=state_view.state_rows.read_s,
+            targets_read_s=state_view.target_rows.read_s,
+            store_s=state_view.store_clock.latest_s(),
+            state=_delta(state_view.state_rows, state_since),
+            targets=_delta(state_view.target_rows, targets_since),
             suspects=self.quarantine.recent() if suspects is None else suspects,
             suspects_sum=self.quarantine.sum(),
             limits=self.reports.limits.recent() if limits is None else limits,
@@ -96,7 +96,7 @@
             departures_sum=self.reports.departures.sum(),
         )
 
-    def answer(self, news: News) -> News:
+    def answer(self, news: GossipMessage) -> GossipMessage:
         """What the sender of ``news`` does not know."""
         address = news.records[0].peer_address if news.records else ""
         reports = self.reports
@@ -111,38 +111,40 @@
             return self.news(**known)
         return self.news(news.state_revision, news.targets_revision, **known)
 
-    def take(self, news: News, asked_at: t.Optional[float] = None) -> bool:
+    def take(self, news: GossipMessage, asked_at: t.Optional[float] = None) -> bool:
         """Take in news; whether the sender knows more still.
 
         :param asked_at: monotonic time at which the question was sent, if this is an answer.
         """
-        belief = self.belief
+        state_view = self.state_view
         self._take_members(news, asked_at is not None)
         self.quarantine.hear(news.suspects)
         self.reports.limits.hear(news.limits)
         self.reports.departures.hear(news.departures)
         if asked_at is not None and news.store_s is not None:
-            belief.store_clock.observe(asked_at, news.store_s)
-        keys = _apply(belief.state_rows, news.state, news.state_read_s)
-        belief.state_changed(keys)
+            state_view.store_clock.observe(asked_at, news.store_s)
+        keys = _apply(state_view.state_rows, news.state, news.state_read_s)
+        state_view.apply_state_changes(keys)
         if news.targets is not None:
-            belief.note_gap(belief.targets_age())
-        keys = _apply(belief.target_rows, news.targets, news.targets_read_s)
-        belief.targets_changed(keys)
-        belief.state_rows.confirm(news.state_revision, news.state_read_s)
-        belief.target_rows.confirm(news.targets_revision, news.targets_read_s)
+            state_view.note_outage(state_view.targets_age_s())
+        keys = _apply(state_view.target_rows, news.targets, news.targets_read_s)
+        state_view.apply_target_changes(keys)
+        state_view.state_rows.confirm(news.state_revision, news.state_read_s)
+        state_view.target_rows.confirm(news.targets_revision, news.targets_read_s)
         return (
-            news.state_revision > belief.state_rows.revision
-            or news.targets_revision > belief.target_rows.revision
+            news.state_revision > state_view.state_rows.revision
+            or news.targets_revision > state_view.target_rows.revision
         )
 
-    def _take_members(self, news: News, answered: bool) -> None:
+    def _take_members(self, news: GossipMessage, answered: bool) -> None:
         members = self._members
-        members.hear(news.records)
+        members.merge_records(news.records)
         # The first answer after a start names all entries that the other one knows.
-        members.met |= answered and any(record.ready for record in news.records[:1])
-        members.doubt(news.suspicions)
-        if news.members_sum == members.sum():
+        members.has_discovered_peers |= answered and any(
+            record.ready for record in news.records[:1]
+        )
+        members.merge_suspicions(news.suspicions)
+        if news.members_sum == members.checksum():
             self._differs_since = None
         elif self._differs_since is None:
             self._differs_since = self._clock.monotonic()
@@ -155,9 +157,11 @@
 
         The latter counts once it has lasted for longer than news take to spread.
         """
-        if not self._members.alive():
+        if not self._members.alive_records():
             return True
-        patience = defaults.GOSSIP_DIFFER_S * (1 + self._members.count() / _MEMBERS_PER_PATIENCE)
+        patience = defaults.GOSSIP_DIFFER_S * (
+            1 + self._members.fleet_size() / _MEMBERS_PER_PATIENCE
+        )
         if self._differs_since is None or now - self._differs_since < patience:
             return False
         self._differs_since = now
@@ -171,6 +175,6 @@
 
 
 def _apply(replica: "Replica[t.Any]", delta: "t.Optional[Delta]", read_s: float) -> t.Set[str]:
-    if delta is None or delta.revision <= replica.revision or not replica.can_take(delta):
+    if delta is None or delta.revision <= replica.revision or not replica.can_apply(delta):
         return set()
     return replica.apply_delta(delta, read_s)
--- a/src/coralfall/traffic/follower.py
+++ b/src/coralfall/traffic/follower.py
@@ -157,7 +157,7 @@
         """Give others, who may know the rows, the time to tell them."""
         until = self._clock.monotonic() + self._patience_s
         while self._clock.monotonic() < until:
-            if self._replica.known:
+            if self._replica.is_loaded:
                 return
             await asyncio.sleep(_LOOK_S)
 
@@ -170,7 +170,7 @@
             await asyncio.sleep(max(_LOOK_S, due - age))
 
     def _age(self) -> float:
-        return self._store_clock.age(self._replica.read_s)
+        return self._store_clock.age_s(self._replica.read_s)
 
     def _note_failure(self, error: PlatformError) -> None:
         self._failures += 1
--- a/src/coralfall/traffic/gossip.py
+++ b/src/coralfall/traffic/gossip.py
@@ -17,7 +17,7 @@
 from ..peering.peer_server import PeerListener
 from ..process import log
 from ..process.child import Child
-from .messages import News, PermitRequest, Push
+from .messages import GossipMessage, PermitRequest, Push
 
 if t.TYPE_CHECKING:
     from ..ids import EntryId, Revision
@@ -50,7 +50,7 @@
         fleet_key: "FleetKey",
         hello: "Hello",
         exchange: "Exchange",
-        relay: "t.Callable[[News, t.Sequence[EntryId]], None]",
+        relay: "t.Callable[[GossipMessage, t.Sequence[EntryId]], None]",
         pull: "t.Callable[[EntryId], None]",
         permits: "Permits",
         traffic: Traffic,
@@ -63,7 +63,7 @@
         self._permits = permits
 
     def answer(self, peer: "Hello", message: "AnyMessage") -> t.Optional["AnyMessage"]:
-        if isinstance(message, News):
+        if isinstance(message, GossipMessage):
             if self._exchange.take(message):
                 self._pull(peer.entry_id)
             return self._exchange.answer(message)
@@ -111,7 +111,7 @@
         self._pulling = False
         self._pushing: t.Optional[asyncio.TimerHandle] = None
         self._may_push_at = -float("inf")
-        members.on_news = self._push_soon
+        members.on_update = self._push_soon
         exchange.quarantine.on_news = self._push_soon
         exchange.reports.limits.on_news = self._push_soon
         exchange.reports.departures.on_news = self._push_soon
@@ -119,10 +119,10 @@
     async def run(self) -> None:
         try:
             while True:
-                self._members.look()
-                for record in self._members.choose(defaults.GOSSIP_FANOUT):
+                self._members.start_round()
+                for record in self._members.choose_peers(defaults.GOSSIP_FANOUT):
                     self._ask(record.peer_address)
-                if not self._members.alive():
+                if not self._members.alive_records():
                     self._ask_all()
                 await asyncio.sleep(self._pause_s() * self._rng.uniform(0.9, 1.1))
         finally:
@@ -133,7 +133,7 @@
             await self._links.close()
 
     def _pause_s(self) -> float:
-        if self._exchange.belief.knows_rows:
+        if self._exchange.state_view.has_rows:
             return defaults.GOSSIP_S
         return defaults.GOSSIP_START_S
 
@@ -147,10 +147,12 @@
         """Tell all live entries what came after these revisions."""
         news = self._exchange.news(state_since, targets_since)
         turn = int(self._clock.monotonic() / defaults.RELAY_TURN_S)
-        ordered = in_relay_order(self._members.alive(), self._members.own.entry_id, turn)
+        ordered = in_relay_order(
+            self._members.alive_records(), self._members.own_record.entry_id, turn
+        )
         self.relay(news, [record.entry_id for record in ordered])
 
-    def relay(self, news: News, entry_ids: "t.Sequence[EntryId]") -> None:
+    def relay(self, news: GossipMessage, entry_ids: "t.Sequence[EntryId]") -> None:
         """Hand news on to these entries, through a few of them."""
         if not entry_ids:
             return
@@ -175,25 +177,25 @@
 
     def _push_members(self) -> None:
         self._pushing = None
-        pause = (len(self._members.alive()) + 1) / defaults.MEMBER_PUSHES_PER_S
+        pause = (len(self._members.alive_records()) + 1) / defaults.MEMBER_PUSHES_PER_S
         self._may_push_at = self._clock.monotonic() + pause
-        belief = self._exchange.belief
-        self.push(belief.state_rows.revision, belief.target_rows.revision)
+        state_view = self._exchange.state_view
+        self.push(state_view.state_rows.revision, state_view.target_rows.revision)
 
     def _ask_all(self) -> None:
         for address in self.seeds:
             self._ask(address)
-        for entry_id in sorted(self._members.all_ids(), key=lambda _: self._rng.random())[:8]:
+        for entry_id in sorted(self._members.known_ids(), key=lambda _: self._rng.random())[:8]:
             self.pull(entry_id)
 
     def _ask(self, address: str) -> None:
-        if address in self._asking or address == self._members.own.peer_address:
+        if address in self._asking or address == self._members.own_record.peer_address:
             return
         self._asking.add(address)
         self._spawn(self._exchange_news(address))
 
     async def _exchange_news(self, address: str) -> None:
-        wants_rows = self._exchange.belief.knows_rows
+        wants_rows = self._exchange.state_view.has_rows
         try:
             for _ in range(3):
                 if not await self._exchange_once(address, wants_rows):
@@ -203,30 +205,30 @@
                     return
                 wants_rows = True
         except PeerError as error:
-            if self._exchange.belief.knows_rows:
+            if self._exchange.state_view.has_rows:
                 # Until then it starts, perhaps with those that it asks, and blames nobody.
-                self._members.missed(address)
+                self._members.record_probe_failure(address)
             log.debug("peer.not-asked", address=address, code=error.code, error=error.message)
         finally:
             self._asking.discard(address)
 
     async def _exchange_once(self, address: str, wants_rows: bool) -> bool:
         """Ask an entry once; whether it knows more still."""
-        pulling = wants_rows and not self._exchange.belief.knows_rows
+        pulling = wants_rows and not self._exchange.state_view.has_rows
         self._pulling |= pulling
         asked_at = self._clock.monotonic()
         try:
             answer = await self._links.exchange(
                 address,
                 self._exchange.news(address=address, wants_rows=wants_rows),
-                News,
+                GossipMessage,
                 defaults.GOSSIP_TIMEOUT_S,
                 kept_s=defaults.GOSSIP_KEPT_S,
             )
         finally:
             if pulling:
                 self._pulling = False
-        self._members.reached(address)
+        self._members.record_probe_success(address)
         return self._exchange.take(answer.message, asked_at)
 
     async def _post(self, address: str, push: Push) -> None:
--- a/src/coralfall/traffic/leases.py
+++ b/src/coralfall/traffic/leases.py
@@ -42,11 +42,11 @@
 
         Entries that are gone count until they are forgotten: they may be cut off and use theirs.
         """
-        return 1.0 / self._members.count() if self._members.met else 0.0
+        return 1.0 / self._members.fleet_size() if self._members.has_discovered_peers else 0.0
 
     def seconds(self) -> float:
         """How long a lease lasts; longer in large fleets, so that owners are told as often."""
-        fleet = self._members.count() / defaults.QUOTA_LEASE_ENTRIES
+        fleet = self._members.fleet_size() / defaults.QUOTA_LEASE_ENTRIES
         return defaults.QUOTA_LEASE_S * max(1.0, fleet)
 
     def may_use(self, slot: "Slot", owner_id: "EntryId") -> bool:
@@ -70,7 +70,7 @@
 
     def keep(self, slots: "t.Iterable[Slot]") -> None:
         """Use the own shares of these slots here, as far as nobody else can."""
-        own_id = self._members.own.entry_id
+        own_id = self._members.own_record.entry_id
         share = self.share()
         if not share:
             return
--- a/src/coralfall/traffic/lookup.py
+++ b/src/coralfall/traffic/lookup.py
@@ -7,11 +7,11 @@
 
 if t.TYPE_CHECKING:
     from ..ids import RegionId, ZoneId
-    from .belief import Belief
     from .members import Members
     from .model import EntryRecord
+    from .row_codec import LookupQuery
     from .settings import BoundSettings, SteerSettings
-    from .translator import LookupQuestion
+    from .state_view import StateView
 
 
 class Lookup:
@@ -22,9 +22,11 @@
     :param belief: the desired state.
     """
 
-    def __init__(self, settings: "SteerSettings", members: "Members", belief: "Belief") -> None:
+    def __init__(
+        self, settings: "SteerSettings", members: "Members", state_view: "StateView"
+    ) -> None:
         self._members = members
-        self._belief = belief
+        self._state_view = state_view
         self._serving: "t.Sequence[EntryRecord]" = ()
         #: Answers by zone and region, for as long as the same entries serve.
         self._nearest: t.Dict[t.Tuple["ZoneId", "RegionId"], t.List["EntryRecord"]] = {}
@@ -35,13 +37,13 @@
         #: Seconds for which callers may keep an answer.
         self.ttl_s = bounds.lookup_ttl_s()
 
-    def addresses(self, question: "LookupQuestion") -> t.List[str]:
+    def addresses(self, question: "LookupQuery") -> t.List[str]:
         """Callers' addresses of entries, none if no entry can serve.
 
         Entries of the caller's zone and region go first, then those of the regions that the
         host's routes are held to, then any.
         """
-        serving = self._members.serving()
+        serving = self._members.serving_records()
         found = self._nearest_of(serving, question.zone, question.region)
         if not found:
             homes = self._homes(question.host)
@@ -65,10 +67,10 @@
         return found
 
     def _homes(self, host: str) -> "t.Set[RegionId]":
-        if self._belief.routes is None:
+        if self._state_view.routes is None:
             return set()
         homes: t.Set["RegionId"] = set()
-        for route in self._belief.routes.of_host(host):
+        for route in self._state_view.routes.of_host(host):
             homes |= route.allowed_regions
         return homes
 
--- a/src/coralfall/traffic/member.py
+++ b/src/coralfall/traffic/member.py
@@ -10,7 +10,7 @@
 if t.TYPE_CHECKING:
     from .model import EntryRecord
 
-Mark = t.Tuple[Incarnation, int]
+RecordVersion = t.Tuple[Incarnation, int]
 
 
 class Member:
@@ -50,7 +50,7 @@
         """Let this be what it said last."""
         self.record = record
         self.digest = digest_of(record)
-        self.place = place_of(record)
+        self.place = read_order_key(record)
         #: When this record was new here.
         self.learnt_at = self.heard_at = now
         self.suspected_at = None
@@ -60,7 +60,7 @@
         self.heard = True
 
     @property
-    def mark(self) -> Mark:
+    def mark(self) -> RecordVersion:
         """Lifetime and beat of its last word."""
         return self.record.incarnation, self.record.beat
 
@@ -77,7 +77,7 @@
         return Suspicion(record.entry_id, record.incarnation, record.beat, age_s)
 
 
-class Present:
+class LiveView:
     """The entries that are alive at a time; what follows from them is worked out once.
 
     :param own: record of the entry that looks.
@@ -112,7 +112,7 @@
     @functools.cached_property
     def rank(self) -> int:
         """See :meth:`.members.Members.rank`."""
-        own = place_of(self._own)
+        own = read_order_key(self._own)
         rank = 0
         for known in self._living:
             if known.place < own and known.record.state is EntryState.SERVING:
@@ -124,13 +124,13 @@
     return record.ready and record.state is EntryState.SERVING
 
 
-def place_of(record: "EntryRecord") -> t.Tuple[float, bytes]:
+def read_order_key(record: "EntryRecord") -> t.Tuple[float, bytes]:
     """Where an entry stands in the order in which entries read for all: wider links first."""
     digest = hashlib.blake2b(record.entry_id.encode(), digest_size=8).digest()
     return -record.link_mbps, digest
 
 
-def place_for(name: str, entry_id: t.Union[EntryId, RegionId]) -> bytes:
+def rendezvous_hash(name: str, entry_id: t.Union[EntryId, RegionId]) -> bytes:
     """Where one stands in the order in which one is chosen for something that has a name."""
     return hashlib.blake2b(f"{name} {entry_id}".encode(), digest_size=8).digest()
 
--- a/src/coralfall/traffic/messages.py
+++ b/src/coralfall/traffic/messages.py
@@ -24,7 +24,7 @@
     age_s: float
 
 
-class News(Message, frozen=True, tag=32):
+class GossipMessage(Message, frozen=True, tag=32):
     """What the sender knows: entries, and how new its rows are; asks for what is newer."""
 
     #: The sender's own first, then those that are news, or all if the receiver asked for them.
@@ -64,11 +64,11 @@
 class Push(Message, frozen=True, tag=33):
     """News that is not answered, to be handed on to the entries named."""
 
-    news: News
+    news: GossipMessage
     relay: t.Tuple[EntryId, ...] = ()
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True):
+class TokenRequest(msgspec.Struct, frozen=True, array_like=True):
     """Tokens of one limit that the sender asks for, and some that it returns."""
 
     key: LimitKey
@@ -84,7 +84,7 @@
 class PermitRequest(Message, frozen=True, tag=34):
     """Asks an owner of limits for tokens, and leases it shares."""
 
-    wants: t.Tuple[Want, ...]
+    wants: t.Tuple[TokenRequest, ...]
     #: Slots whose shares are leased, the share of each, and for how many seconds.
     slots: t.Tuple[SlotGroup, ...] = ()
     share: float = 0.0
--- a/src/coralfall/traffic/node.py
+++ b/src/coralfall/traffic/node.py
@@ -21,7 +21,6 @@
 from ..process.metrics import Metrics
 from ..process.supervisor import Supervisor
 from ..settings import HttpSettings
-from .belief import Belief
 from .callers import CallersApp
 from .crashes import Crash, CrashWatch
 from .exchange import Exchange
@@ -36,6 +35,7 @@
 from .pool import ConnectionPool
 from .quotas import Quotas
 from .registry import Registry
+from .state_view import StateView
 from .target_permits import TargetPermits
 from .telemetry import MetricsApp, Telemetry
 from .tenants import Identification
@@ -45,8 +45,8 @@
     from ..ids import Revision
     from ..process.clock import Clock
     from ..stores.store import Feed, Table
+    from .row_codec import RowCodec
     from .settings import BoundSettings, SteerSettings
-    from .translator import Translator
     from .wire import HeaderNames
 
 _TICK_S = 0.2
@@ -76,22 +76,22 @@
         self,
         settings: "SteerSettings",
         names: "HeaderNames",
-        translator: "Translator",
+        row_codec: "RowCodec",
         store: Store,
         clock: "Clock",
         rng: random.Random,
     ) -> None:
         self.settings = settings
-        self._translator = translator
+        self._row_codec = row_codec
         self._store = store
         self.clock = clock
         self._rng = rng
         self.telemetry = Telemetry()
         self._traffic = Traffic()
         self.metrics = Metrics(settings.metrics)
-        self.targets = TargetBook(clock, settings.bounds.target_row_s())
+        self.targets = TargetBook(clock, settings.bounds.target_visibility_s())
         self.steering = AffinitySteering(settings, self.targets, clock)
-        self.belief = Belief(translator, self.steering, self.targets, clock, rng)
+        self.state_view = StateView(row_codec, self.steering, self.targets, clock, rng)
         self.members = Members(_own_record(settings, clock), clock, rng)
         self.budget = SendBudget(settings.bounds, clock)
         self.pool = ConnectionPool(clock)
@@ -111,14 +111,14 @@
             self.target_permits,
             clock,
         )
-        self.identification = Identification(names, self.belief, settings.bounds)
-        self.lookup = Lookup(settings, self.members, self.belief)
-        self.registry = Registry(store.feed, store.table, translator, self.members, rng)
-        self.quarantine.tries = lambda suspect: self.members.is_first_for(str(suspect))
+        self.identification = Identification(names, self.state_view, settings.bounds)
+        self.lookup = Lookup(settings, self.members, self.state_view)
+        self.registry = Registry(store.feed, store.table, row_codec, self.members, rng)
+        self.quarantine.tries = lambda suspect: self.members.is_responsible_for(str(suspect))
         self._make_peers()
         self.callers = CallersApp(
             names,
-            self.belief,
+            self.state_view,
             self.identification,
             self.quotas,
             self.forwarder,
@@ -127,10 +127,10 @@
         )
         self._tick_due = clock.monotonic() + _TICK_S
         self.followers = self._make_followers()
-        self.belief.on_state = self._apply_limits
-        self.belief.on_learnt = self.note_readiness
+        self.state_view.on_state = self._apply_limits
+        self.state_view.on_update = self.update_readiness
 
-    def make_tree(self, lookup: "Application", readiness: "Application") -> Supervisor:
+    def build_supervisor(self, lookup: "Application", readiness: "Application") -> Supervisor:
         """The process's parts in the order of their start.
 
         :param lookup: the platform's form of look-ups.
@@ -153,9 +153,9 @@
             HttpServer("readiness", readiness, settings.readiness_address),
             HttpServer("lookup", lookup, settings.lookup_address),
             self._callers_server,
-            FunctionChild("registry", self.registry.keep),
+            FunctionChild("registry", self.registry.run),
             PeriodicChild("tick", self._tick, _TICK_S, self._rng, self.metrics),
-            Presence(self),
+            ReadinessGate(self),
         ]
         if settings.metrics_address is not None:
             metrics = MetricsApp(self.telemetry, self)
@@ -168,9 +168,9 @@
     @property
     def ready(self) -> bool:
         """Whether callers may be sent here."""
-        return self.members.own.ready and self.members.own.state is EntryState.SERVING
+        return self.members.own_record.ready and self.members.own_record.state is EntryState.SERVING
 
-    def apply(self, settings: "SteerSettings") -> None:
+    def apply_settings(self, settings: "SteerSettings") -> None:
         """Take in settings of which only live ones differ; see :mod:`.reload`."""
         self.settings = settings
         log.set_level(settings.log)
@@ -184,41 +184,41 @@
         for follower, pace in zip(self.followers, _paces(settings.bounds), strict=True):
             follower.pace = pace
 
-    async def leave(self) -> None:
+    async def drain(self) -> None:
         """Tell all that this entry stops, and serve on while callers still come."""
-        self.members.set_own(leaving=True)
+        self.members.update_own(leaving=True)
         self._callers_server.close_connections_after_answers()
         log.info("entry.leaving", in_hand=self.callers.in_hand)
         unregister = asyncio.create_task(self.registry.unregister())
-        await asyncio.sleep(self.settings.bounds.leave_s())
+        await asyncio.sleep(self.settings.bounds.shutdown_serve_s())
         unregister.cancel()
 
     async def _tick(self) -> None:
         now = self.clock.monotonic()
-        self.telemetry.loop_delay(max(0.0, now - self._tick_due))
+        self.telemetry.observe_loop_delay(max(0.0, now - self._tick_due))
         self._tick_due = now + _TICK_S * (1 + PERIODIC_JITTER)
-        self.belief.tick()
+        self.state_view.tick()
         self.pool.close_idle()
         self.crashes.forget()
         self.quarantine.forget()
         self.quotas.forget()
         self.targets.reports.tick(self.targets.by_id)
-        self.budget.entries = self.members.count()
-        self.steering.cold_shares.set_entries(self.members.all_ids())
+        self.budget.entries = self.members.fleet_size()
+        self.steering.cold_shares.set_entries(self.members.known_ids())
 
     def _note_crash(self, crash: Crash) -> None:
         target = crash.target
-        self.telemetry.crash(target.service)
+        self.telemetry.count_crash(target.service)
         requests = [(request.fingerprint, request.caller) for request in crash.requests]
         self.quarantine.note_crash(crash_digest(target.target_id, target.born), requests)
 
-    def note_readiness(self) -> None:
+    def update_readiness(self) -> None:
         """Let callers come as soon as enough is known and the callers' port is open."""
-        if not self.belief.complete or not self._callers_server.bound_address:
+        if not self.state_view.is_complete or not self._callers_server.bound_address:
             return
-        if not self.members.set_own(ready=True):
+        if not self.members.update_own(ready=True):
             return
-        log.info("entry.ready", version=self.belief.version, targets=len(self.targets.by_id))
+        log.info("entry.ready", version=self.state_view.version, targets=len(self.targets.by_id))
 
     def _apply_limits(self, state: DesiredState) -> None:
         limits = state.limits
@@ -231,16 +231,16 @@
         )
 
     def _http_settings(self, **limits: t.Any) -> HttpSettings:
-        most = self.settings.caller_connections()
+        most = self.settings.max_caller_connections()
         return HttpSettings(max_connections=most, max_idle_connections=most, **limits)
 
     def _make_permits(self) -> None:
         settings = self.settings
-        own = self.members.own
+        own = self.members.own_record
         hello = Hello(entry_id=own.entry_id, incarnation=own.incarnation)
         links = PeerLinks(_fleet_key(settings), hello, self._traffic)
         self.permits = Permits(self.members, links, Ledger(self.clock), self.clock)
-        self.quotas = Quotas(self.permits, self.belief, settings.bounds, self.clock)
+        self.quotas = Quotas(self.permits, self.state_view, settings.bounds, self.clock)
         self.target_permits = TargetPermits(
             self.permits, self.steering.limits, self.targets, settings, self.clock
         )
@@ -249,11 +249,11 @@
     def _make_peers(self) -> None:
         settings = self.settings
         fleet_key = _fleet_key(settings)
-        own = self.members.own
+        own = self.members.own_record
         hello = Hello(entry_id=own.entry_id, incarnation=own.incarnation)
         traffic = self._traffic
         self.exchange = Exchange(
-            self.members, self.belief, self.quarantine, self.targets.reports, self.clock
+            self.members, self.state_view, self.quarantine, self.targets.reports, self.clock
         )
         links = PeerLinks(fleet_key, hello, traffic)
         self.gossip = Gossip(
@@ -272,37 +272,37 @@
         )
 
     def _make_followers(self) -> t.List[Follower]:
-        belief = self.belief
+        state_view = self.state_view
 
         def push_state(since: "Revision") -> None:
-            self.gossip.push(since, belief.target_rows.revision)
+            self.gossip.push(since, state_view.target_rows.revision)
 
         def push_targets(since: "Revision") -> None:
-            self.gossip.push(belief.state_rows.revision, since)
+            self.gossip.push(state_view.state_rows.revision, since)
 
-        shared = (self._store.feed, self.members, self.clock, belief.store_clock, self._rng)
-        patience_s = self.settings.start_patience_s()
+        shared = (self._store.feed, self.members, self.clock, state_view.store_clock, self._rng)
+        patience_s = self.settings.first_start_wait_s()
         state_pace, targets_pace = _paces(self.settings.bounds)
         return [
             Follower(
-                self._translator.state_prefix,
-                belief.state_rows,
+                self._row_codec.state_prefix,
+                state_view.state_rows,
                 *shared,
                 pace=state_pace,
                 held=True,
                 before=lambda age_s: None,
-                changed=belief.state_changed,
+                changed=state_view.apply_state_changes,
                 hand_on=push_state,
                 patience_s=patience_s,
             ),
             Follower(
-                self._translator.target_prefix,
-                belief.target_rows,
+                self._row_codec.target_prefix,
+                state_view.target_rows,
                 *shared,
                 pace=targets_pace,
                 held=False,
-                before=belief.note_gap,
-                changed=belief.targets_changed,
+                before=state_view.note_outage,
+                changed=state_view.apply_target_changes,
                 hand_on=push_targets,
                 patience_s=patience_s,
             ),
@@ -316,7 +316,7 @@
             self.pool.close()
 
 
-class Presence(Child):
+class ReadinessGate(Child):
     """Started last and so stopped first: callers come when all stands, and go before it falls."""
 
     name = "presence"
@@ -325,18 +325,18 @@
         self._node = node
 
     async def start(self) -> None:
-        self._node.note_readiness()
+        self._node.update_readiness()
 
     async def run(self) -> None:
         await asyncio.Event().wait()
 
     async def stop(self) -> None:
-        await self._node.leave()
+        await self._node.drain()
 
 
 def _paces(bounds: "BoundSettings") -> t.Tuple[Pace, Pace]:
     """Of what the operators write, and of the targets."""
-    return pace_of(bounds.state_bound_s()), pace_of(bounds.drain_s)
+    return pace_of(bounds.state_deadline_s()), pace_of(bounds.drain_s)
 
 
 def _own_record(settings: "SteerSettings", clock: "Clock") -> EntryRecord:
--- a/src/coralfall/traffic/owners.py
+++ b/src/coralfall/traffic/owners.py
@@ -9,7 +9,7 @@
 
 from .. import defaults
 from ..process import log
-from .member import place_for, place_of
+from .member import read_order_key, rendezvous_hash
 
 if t.TYPE_CHECKING:
     from ..exceptions import PeerError
@@ -76,13 +76,13 @@
         self.refresh()
         ids = self._ids_by_slot.get(slot)
         if ids is None:
-            ids = _owners_for(slot, self._chosen, self._members.own)
+            ids = _owners_for(slot, self._chosen, self._members.own_record)
             self._ids_by_slot[slot] = ids
         return ids
 
     def refresh(self) -> None:
         """Recompute the owners if other entries serve, or others of them give no reply."""
-        serving = self._members.serving()
+        serving = self._members.serving_records()
         silent = frozenset([owner.entry_id for owner in self.by_id.values() if owner.silent])
         alone = len(silent) >= _ALONE and not self._is_answered()
         if serving is self._serving and silent == self._silent and alone == self._alone:
@@ -91,7 +91,7 @@
         self._silent = silent
         self._alone = alone
         self._forget(serving)
-        own_id = self._members.own.entry_id
+        own_id = self._members.own_record.entry_id
         if alone:
             serving = [record for record in serving if record.entry_id == own_id]
         chosen = self._choose([one for one in serving if one.entry_id not in silent])
@@ -150,14 +150,14 @@
     def _choose(self, serving: "t.Sequence[EntryRecord]") -> _ByRegion:
         """The entries of each region that count, those with wide links first."""
         by_region: t.Dict["RegionId", t.List["EntryRecord"]] = {}
-        for record in sorted(serving, key=place_of):
+        for record in sorted(serving, key=read_order_key):
             by_region.setdefault(record.region, []).append(record)
         chosen: _ByRegion = {}
         for region, records in by_region.items():
             count = max(_LEAST_OWNERS, len(records) // defaults.QUOTA_ENTRIES_AN_OWNER)
             chosen[region] = [record.entry_id for record in records[:count]]
             for record in records[:count]:
-                if record.entry_id != self._members.own.entry_id:
+                if record.entry_id != self._members.own_record.entry_id:
                     self.by_id.setdefault(record.entry_id, Owner(record))
         return chosen
 
@@ -174,7 +174,7 @@
     # Half of the entries lease to one and half to another, so that not all is lost with one.
     owners = [one for region in regions for one in _ranked(slot, by_region[region])]
     owners = owners[:_LEAST_OWNERS]
-    turn = place_for(f"lend {slot.number}", own.entry_id)[0] % max(1, len(owners))
+    turn = rendezvous_hash(f"lend {slot.number}", own.entry_id)[0] % max(1, len(owners))
     return owners[turn:] + owners[:turn]
 
 
@@ -182,10 +182,10 @@
     first = own.region if slot.region is None else slot.region
     # All entries take the other regions in one order if they have to agree on the first.
     name = f"{own.entry_id} {slot.number}" if slot.region is None else f"{slot.number}"
-    regions = sorted(by_region, key=lambda region: place_for(name, region))
+    regions = sorted(by_region, key=lambda region: rendezvous_hash(name, region))
     regions.sort(key=lambda region: region != first)
     return regions
 
 
 def _ranked(slot: "Slot", entry_ids: "t.Sequence[EntryId]") -> "t.List[EntryId]":
-    return sorted(entry_ids, key=lambda one: place_for(f"quota {slot.number}", one))
+    return sorted(entry_ids, key=lambda one: rendezvous_hash(f"quota {slot.number}", one))
--- a/src/coralfall/traffic/permits.py
+++ b/src/coralfall/traffic/permits.py
@@ -16,7 +16,7 @@
 from ..process.child import Child
 from .acquisition import Acquisition, Answer, deal
 from .leases import Leases
-from .messages import PermitReply, PermitRequest, Want
+from .messages import PermitReply, PermitRequest, TokenRequest
 from .owners import Owners
 
 if t.TYPE_CHECKING:
@@ -140,7 +140,7 @@
 
     def give_back(self, key: "LimitKey", limit: "Limit", owner_id: "EntryId") -> None:
         """Return a token to its owner: its request was not sent."""
-        if owner_id == self._members.own.entry_id:
+        if owner_id == self._members.own_record.entry_id:
             self._ledger.give_back(key, 1)
         elif owner_id in self.owners.by_id:
             self._queue_of(owner_id).note_unused(key, limit, 1)
@@ -148,7 +148,7 @@
     def answer(self, peer: "Hello", request: PermitRequest) -> PermitReply:
         """Grant what another entry asks, and use what it leases."""
         now = self._clock.monotonic()
-        own = self._members.own
+        own = self._members.own_record
         closed = own.state is EntryState.LEAVING
         if closed:
             self._ledger.end(peer.entry_id)
@@ -160,7 +160,7 @@
             grants=tuple([self._grant(want) for want in request.wants]), now_s=now, closed=closed
         )
 
-    def _grant(self, want: Want) -> Grant:
+    def _grant(self, want: TokenRequest) -> Grant:
         limit = self._limit_of(want.key) or want.limit
         if limit == UNLIMITED:
             return Grant(want.count, 0.0, 0.0, 1.0)
@@ -179,7 +179,7 @@
         return {slot for source in self.sources for slot in source.slots()}
 
     def _ask_one(self, owner_id: "EntryId", acquisition: Acquisition) -> None:
-        if owner_id == self._members.own.entry_id:
+        if owner_id == self._members.own_record.entry_id:
             slot = slot_of(acquisition.key)
             if self.owners.of(slot)[0] == owner_id:
                 self._leases.keep([slot])
@@ -222,7 +222,7 @@
             wanted = (acquisition.key, acquisition.spare_only)
             by_want.setdefault(wanted, []).append(acquisition)
         wants = [_want(some, unused.pop(key, None)) for (key, _), some in by_want.items()]
-        wants += [Want(key, 0, one.tokens, one.limit) for key, one in unused.items()]
+        wants += [TokenRequest(key, 0, one.tokens, one.limit) for key, one in unused.items()]
         request = self._request(owner, tuple(wants))
         try:
             reply = await self._links.exchange(
@@ -242,7 +242,7 @@
             if unused_count:
                 queue.note_unused(some[0].key, some[0].limit, unused_count)
 
-    def _request(self, owner: "Owner", wants: t.Tuple[Want, ...]) -> PermitRequest:
+    def _request(self, owner: "Owner", wants: t.Tuple[TokenRequest, ...]) -> PermitRequest:
         seconds = self._leases.seconds()
         until = owner.answered_at + seconds
         share = self._leases.share()
@@ -285,7 +285,7 @@
         for entry_id in self._queues.keys() - self.owners.by_id.keys():
             del self._queues[entry_id]
         now = self._clock.monotonic()
-        own_id = self._members.own.entry_id
+        own_id = self._members.own_record.entry_id
         first_by_slot = {slot: owners[0] for slot in slots if (owners := self.owners.of(slot))}
         self._leases.keep([slot for slot, first in first_by_slot.items() if first == own_id])
         due = now - self._leases.seconds() * defaults.QUOTA_RENEW_PART
@@ -312,7 +312,7 @@
         return any(not self._leases.is_leased_to(slot, entry_id) for slot in slots)
 
 
-def _want(waiting: t.Sequence[Acquisition], unused: t.Optional[_Unused]) -> Want:
+def _want(waiting: t.Sequence[Acquisition], unused: t.Optional[_Unused]) -> TokenRequest:
     first = waiting[0]
     returned = unused.tokens if unused is not None else 0
-    return Want(first.key, len(waiting), returned, first.limit, first.spare_only)
+    return TokenRequest(first.key, len(waiting), returned, first.limit, first.spare_only)
--- a/src/coralfall/traffic/quotas.py
+++ b/src/coralfall/traffic/quotas.py
@@ -15,10 +15,10 @@
     from ..placement.ledger import Limit, LimitKey
     from ..process.clock import Clock
     from .acquisition import Acquisition, Answer
-    from .belief import Belief
     from .model import Tenant
     from .permits import Permits
     from .settings import BoundSettings
+    from .state_view import StateView
 
 #: Reason of a request beyond its tenant's limit, and of one for which no owner could be asked.
 OVER_LIMIT = "over-limit"
@@ -46,21 +46,21 @@
     """
 
     def __init__(
-        self, permits: "Permits", belief: "Belief", bounds: "BoundSettings", clock: "Clock"
+        self, permits: "Permits", state_view: "StateView", bounds: "BoundSettings", clock: "Clock"
     ) -> None:
         self._permits = permits
-        self._belief = belief
+        self._state_view = state_view
         self.bounds = bounds
         self._clock = clock
         self._over: t.Dict["TenantId", _Backoff] = {}
 
     def slots(self) -> "t.Collection[Slot]":
-        return _SLOTS if self._belief.tenants.limited else ()
+        return _SLOTS if self._state_view.tenants.limited else ()
 
     def limit_of(self, key: "LimitKey") -> "t.Optional[Limit]":
         if key.kind is not LimitKind.TENANT:
             return None
-        tenant = self._belief.tenants.by_id.get(TenantId(key.name))
+        tenant = self._state_view.tenants.by_id.get(TenantId(key.name))
         return None if tenant is None else limit_of(tenant, self.bounds)
 
     async def take(self, tenant: "t.Optional[Tenant]") -> "t.Optional[EntryId]":
--- a/src/coralfall/traffic/registry.py
+++ b/src/coralfall/traffic/registry.py
@@ -20,7 +20,7 @@
     from ..stores.store import Feed, Row, Table
     from .members import Members
     from .model import EntryRecord
-    from .translator import Translator
+    from .row_codec import RowCodec
 
 #: Pauses between tries to register, in seconds.
 _MIN_PAUSE_S = 0.1
@@ -43,13 +43,13 @@
         self,
         feed: "Feed",
         table: "Table",
-        translator: "Translator",
+        row_codec: "RowCodec",
         members: "Members",
         rng: random.Random,
     ) -> None:
         self._feed = feed
         self._table = table
-        self._translator = translator
+        self._row_codec = row_codec
         self._members = members
         self._rng = rng
         #: Rows of entries that were unknown the last time.
@@ -60,7 +60,7 @@
         pause = _MIN_PAUSE_S
         while True:
             try:
-                key, data = self._translator.entry_row(self._members.own)
+                key, data = self._row_codec.encode_entry_row(self._members.own_record)
                 await self._table.transact([Write(key, data)])
                 # Of any two that start at the same moment, the one that wrote last finds the other;
                 # those that were here before are told of by the seeds, too.
@@ -76,18 +76,18 @@
         rows = await self._read()
         for row in rows:
             self._introduce(row)
-        self._members.met = True
+        self._members.has_discovered_peers = True
         return len(rows)
 
     async def unregister(self) -> None:
         """Take this entry's row away."""
-        key, _ = self._translator.entry_row(self._members.own)
+        key, _ = self._row_codec.encode_entry_row(self._members.own_record)
         try:
             await self._table.transact([Write(key, None)])
         except PlatformError as error:
             log.info("entry.not-unregistered", code=error.code, error=error.message)
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """Reconcile now and then, for ever."""
         while True:
             await asyncio.sleep(defaults.RECONCILE_S * self._rng.uniform(0.8, 1.2))
@@ -113,13 +113,13 @@
         writes: t.List[Write] = []
         for row in rows:
             record = self._record_of(row)
-            if record is None or record.entry_id in self._members.all_ids():
+            if record is None or record.entry_id in self._members.known_ids():
                 continue
             if before.get(row.key) == row.revision:
                 writes.append(Write(row.key, None, expected=row.revision))
                 continue
             self._strange[row.key] = row.revision
-            self._members.register(record)
+            self._members.add_registered(record)
         if self._strange:
             log.info("entries.met", keys=",".join(self._strange))
         writes += self._missing({row.key for row in rows})
@@ -139,24 +139,24 @@
 
     def _missing(self, keys: t.Set[str]) -> t.List[Write]:
         writes = []
-        for record in self._members.serving():
-            key, data = self._translator.entry_row(record)
+        for record in self._members.serving_records():
+            key, data = self._row_codec.encode_entry_row(record)
             if key not in keys:
                 writes.append(Write(key, data, expected=_ABSENT))
         return writes
 
     async def _read(self) -> "t.List[Row]":
-        changes = await self._feed.snapshot(self._translator.entry_prefix)
+        changes = await self._feed.snapshot(self._row_codec.entry_prefix)
         return [row for row in changes.rows if row.value is not None]
 
     def _introduce(self, row: "Row") -> None:
         record = self._record_of(row)
         if record is not None:
-            self._members.register(record)
+            self._members.add_registered(record)
 
     def _record_of(self, row: "Row") -> "t.Optional[EntryRecord]":
         try:
-            return self._translator.read_entry_row(row.key, row.value or b"")
+            return self._row_codec.decode_entry_row(row.key, row.value or b"")
         except DesiredStateError as error:
             log.error("row.unreadable", key=row.key, revision=row.revision, error=error.message)
             return None
--- a/src/coralfall/traffic/replica.py
+++ b/src/coralfall/traffic/replica.py
@@ -46,7 +46,7 @@
         self._decode = decode
         self._drops_unreadable = drops_unreadable
         #: Keys whose newest row could not be read.
-        self.unreadable: t.Set[str] = set()
+        self.unreadable_keys: t.Set[str] = set()
         self._held: t.Dict[str, _Held[ValueT]] = {}
         self._removed: t.Dict[str, Revision] = {}
         #: Deltas since older revisions than this can't be made.
@@ -56,7 +56,7 @@
         self.read_s = -float("inf")
 
     @property
-    def known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether anything was ever learnt."""
         return self.revision > 0
 
@@ -111,7 +111,7 @@
                 rows.append(DeltaRow(key, revision, None))
         return pack(since, self.revision, rows)
 
-    def can_take(self, delta: Delta) -> bool:
+    def can_apply(self, delta: Delta) -> bool:
         """Whether nothing is missing between what is known and the delta."""
         return delta.since == 0 or delta.since <= self.revision
 
@@ -154,7 +154,7 @@
             log.error("row.unreadable", key=key, revision=revision, error=error.message)
             self._note_unreadable(key, revision, changed)
             return
-        self.unreadable.discard(key)
+        self.unreadable_keys.discard(key)
         if held is not None and held.value == value:
             return
         self._held[key] = _Held(data, revision, value)
@@ -165,11 +165,11 @@
         if not self._drops_unreadable:
             return
         self._remove(key, revision, changed)
-        self.unreadable.add(key)
+        self.unreadable_keys.add(key)
         changed.add(key)
 
     def _remove(self, key: str, revision: Revision, changed: t.Set[str]) -> None:
-        self.unreadable.discard(key)
+        self.unreadable_keys.discard(key)
         held = self._held.get(key)
         if held is not None:
             if held.revision > revision:
--- a/src/coralfall/traffic/translator.py
+++ b/src/coralfall/traffic/row_codec.py
@@ -8,7 +8,7 @@
     from .model import DesiredState, EntryRecord, Target
 
 
-class LookupQuestion(t.NamedTuple):
+class LookupQuery(t.NamedTuple):
     """Who asks where to connect."""
 
     host: str
@@ -25,12 +25,12 @@
 StateRow = t.Union["DesiredState", Evacuation, None]
 
 
-class Translator(abc.ABC):
+class RowCodec(abc.ABC):
     """Reads and writes the platform's rows; all methods raise ``DesiredStateError``.
 
     Write your own for rows that the product encodes itself::
 
-        class PlainTranslator(Translator):
+        class JsonRowCodec(Translator):
             state_prefix = "state/"
             target_prefix = "targets/"
             entry_prefix = "entries/"
@@ -46,17 +46,17 @@
     entry_prefix: str
 
     @abc.abstractmethod
-    def state_row(self, key: str, data: bytes) -> StateRow:
+    def decode_state_row(self, key: str, data: bytes) -> StateRow:
         """What a row below :attr:`state_prefix` says; ``None`` if it concerns nobody here."""
 
     @abc.abstractmethod
-    def target_row(self, key: str, data: bytes) -> "Target":
+    def decode_target_row(self, key: str, data: bytes) -> "Target":
         """What a row below :attr:`target_prefix` says."""
 
     @abc.abstractmethod
-    def entry_row(self, record: "EntryRecord") -> t.Tuple[str, bytes]:
+    def encode_entry_row(self, record: "EntryRecord") -> t.Tuple[str, bytes]:
         """Key and bytes of an entry's own row."""
 
     @abc.abstractmethod
-    def read_entry_row(self, key: str, data: bytes) -> "EntryRecord":
+    def decode_entry_row(self, key: str, data: bytes) -> "EntryRecord":
         """The entry that a row tells of."""
--- a/src/coralfall/traffic/settings.py
+++ b/src/coralfall/traffic/settings.py
@@ -57,24 +57,24 @@
     #: Between two writes of a target's row.
     target_beat_s: Amount = 1.5
 
-    def state_bound_s(self) -> float:
+    def state_deadline_s(self) -> float:
         """Seconds within which what the operator writes must be in force."""
         return min(self.config_s, self.evacuation_s)
 
-    def target_row_s(self) -> float:
+    def target_visibility_s(self) -> float:
         """Seconds from a target's start until its row tells of it here."""
         return self.target_beat_s + self.drain_s
 
-    def leave_s(self) -> float:
+    def shutdown_serve_s(self) -> float:
         """Seconds for which a stopping entry still takes what callers send to it."""
         return min(defaults.LEAVE_S, self.grace_s * defaults.LEAVE_PART)
 
     def lookup_ttl_s(self) -> float:
         """Seconds for which callers may keep an answer to a look-up; a stop waits for them."""
-        kept_s = self.leave_s() / defaults.LOOKUP_KEPT
+        kept_s = self.shutdown_serve_s() / defaults.LOOKUP_KEPT
         return min(defaults.STEER_TTL_S, self.max_ttl_s, kept_s)
 
-    def shares_per_s(self) -> float:
+    def home_shift_per_s(self) -> float:
         """Part of a region's objects that may change its home region in a second."""
         return self.max_shift * defaults.SHIFT_USED / defaults.SHIFT_WINDOW_S
 
@@ -127,18 +127,18 @@
     #: Where statsd metrics go.
     metrics: MetricsSettings = MetricsSettings()
 
-    def start_patience_s(self) -> float:
+    def first_start_wait_s(self) -> float:
         """Seconds for which a start waits for the rows that seeds read; 0 for a seed itself."""
         if not self.first_start or not self.seeds or self.peer_address in self.seeds:
             return 0.0
         return defaults.FIRST_START_S
 
-    def caller_connections(self) -> int:
+    def max_caller_connections(self) -> int:
         """How many connections of callers are kept open, so that some are left for targets."""
         free = (self.max_files - defaults.RESERVED_FILES) * defaults.CALLER_FILES
         most = int(min(defaults.MAX_CALLER_CONNECTIONS, free))
         return max(defaults.MIN_CALLER_CONNECTIONS, most)
 
-    def cold_per_s(self, warmup_per_s: float) -> float:
+    def cold_limit_per_s(self, warmup_per_s: float) -> float:
         """Requests in a second that a cold target may get, of all entries together."""
         return warmup_per_s * self.bounds.cold_overage + self.bounds.cold_slack
--- a/src/coralfall/traffic/reload.py
+++ b/src/coralfall/traffic/settings_reloader.py
@@ -14,7 +14,7 @@
 LIVE = ("bounds", "log", "quarantine_s", "seeds")
 
 
-class Reload:
+class SettingsReloader:
     """Call it when the file may have changed.
 
     :param path: the settings file.
--- a/src/coralfall/traffic/belief.py
+++ b/src/coralfall/traffic/state_view.py
@@ -10,22 +10,22 @@
 from .model import DesiredState
 from .replica import Replica
 from .routes import RouteTable
+from .row_codec import Evacuation, StateRow
 from .store_clock import StoreClock
 from .tenants import TenantTable
-from .translator import Evacuation, StateRow
 
 if t.TYPE_CHECKING:
     from ..placement.affinity import AffinitySteering
     from ..placement.targets import TargetBook
     from ..process.clock import Clock
     from .model import Target
-    from .translator import Translator
+    from .row_codec import RowCodec
 
 #: Age in seconds of what was never known.
 _NEVER_S = 1e6
 
 
-class Belief:
+class StateView:
     """What an entry steers by.
 
     :param translator: reads the platform's rows.
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        translator: "Translator",
+        row_codec: "RowCodec",
         steering: "AffinitySteering",
         targets: "TargetBook",
         clock: "Clock",
@@ -48,18 +48,18 @@
         self._clock = clock
         #: Tells how old the rows are.
         self.store_clock = StoreClock(clock)
-        self.state_rows: Replica[StateRow] = Replica("state", translator.state_row)
+        self.state_rows: Replica[StateRow] = Replica("state", row_codec.decode_state_row)
         self.target_rows: Replica["Target"] = Replica(
-            "targets", translator.target_row, drops_unreadable=True
+            "targets", row_codec.decode_target_row, drops_unreadable=True
         )
-        self._target_prefix = translator.target_prefix
+        self._target_prefix = row_codec.target_prefix
         self.state: t.Optional[DesiredState] = None
         self.routes: t.Optional[RouteTable] = None
         self.tenants = TenantTable(None)
         self.split = Split(rng)
         #: Called with each new desired state, and after anything else was learnt.
         self.on_state: t.Callable[[DesiredState], None] = lambda state: None
-        self.on_learnt: t.Callable[[], None] = lambda: None
+        self.on_update: t.Callable[[], None] = lambda: None
         self._lingering: t.Dict[TargetId, "Target"] = {}
         self._linger_until = -float("inf")
 
@@ -69,34 +69,34 @@
         return self.state.version if self.state is not None else 0
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether enough is known to serve callers."""
-        return self.state is not None and self.target_rows.known
+        return self.state is not None and self.target_rows.is_loaded
 
     @property
-    def knows_rows(self) -> bool:
+    def has_rows(self) -> bool:
         """Whether the rows were learnt once, so that from now on only what changed is needed."""
-        return self.state_rows.known and self.target_rows.known
+        return self.state_rows.is_loaded and self.target_rows.is_loaded
 
-    def state_age(self) -> float:
+    def state_age_s(self) -> float:
         """Seconds since the desired state was known to be the newest, at the most."""
-        return min(self.store_clock.age(self.state_rows.read_s), _NEVER_S)
+        return min(self.store_clock.age_s(self.state_rows.read_s), _NEVER_S)
 
-    def targets_age(self) -> float:
+    def targets_age_s(self) -> float:
         """Seconds since the targets were known to be as they are here, at the most."""
-        return min(self.store_clock.age(self.target_rows.read_s), _NEVER_S)
+        return min(self.store_clock.age_s(self.target_rows.read_s), _NEVER_S)
 
-    def note_gap(self, age_s: float) -> None:
+    def note_outage(self, age_s: float) -> None:
         """Before rows are taken in: how long nothing was heard of them.
 
         Targets that could not reach the store meanwhile lose their rows, and write them again
         soon after; those that are missing are used for a little longer.
         """
-        if age_s < defaults.OUTAGE_S or not self.target_rows.known:
+        if age_s < defaults.OUTAGE_S or not self.target_rows.is_loaded:
             return
         self._linger_until = self._clock.monotonic() + defaults.RETURN_GRACE_S
 
-    def state_changed(self, keys: t.Set[str]) -> None:
+    def apply_state_changes(self, keys: t.Set[str]) -> None:
         """Act on state rows that changed."""
         if not keys:
             return
@@ -110,7 +110,7 @@
         if newest is not None and newest is not self.state:
             self._enforce(newest)
         self._targets.evacuate(frozenset(zones))
-        self.on_learnt()
+        self.on_update()
 
     def _enforce(self, state: DesiredState) -> None:
         previous = self.version
@@ -129,7 +129,7 @@
         )
         self.on_state(state)
 
-    def targets_changed(self, keys: t.Set[str]) -> None:
+    def apply_target_changes(self, keys: t.Set[str]) -> None:
         """Act on target rows that changed."""
         if not keys:
             return
@@ -139,7 +139,7 @@
             self._linger(present)
         self._drop_decided(present)
         self._targets.update({**self._lingering, **present})
-        self.on_learnt()
+        self.on_update()
 
     def tick(self) -> None:
         """Let go of targets that did not come back."""
@@ -158,6 +158,6 @@
     def _drop_decided(self, present: "t.Mapping[TargetId, Target]") -> None:
         """Wait no longer for targets that are back, or whose rows name none that can be used."""
         for target_id in list(self._lingering):
-            unreadable = self._target_prefix + target_id in self.target_rows.unreadable
+            unreadable = self._target_prefix + target_id in self.target_rows.unreadable_keys
             if target_id in present or unreadable:
                 del self._lingering[target_id]
--- a/src/coralfall/traffic/store_clock.py
+++ b/src/coralfall/traffic/store_clock.py
@@ -44,13 +44,13 @@
         self._offset = found
         self._observed_at = now
 
-    def latest(self) -> t.Optional[float]:
+    def latest_s(self) -> t.Optional[float]:
         """What it may show now at the most; ``None`` if nothing is known of it."""
         now = self._clock.monotonic()
         offset = self._offset_at(now)
         return None if offset is None else now - offset
 
-    def age(self, store_s: float) -> float:
+    def age_s(self, store_s: float) -> float:
         """Seconds since it showed ``store_s``, at the most; infinite if nothing is known of it."""
         now = self._clock.monotonic()
         offset = self._offset_at(now)
--- a/src/coralfall/traffic/telemetry.py
+++ b/src/coralfall/traffic/telemetry.py
@@ -65,7 +65,7 @@
         )
         self._gauges: t.Dict[str, prometheus_client.Gauge] = {}
 
-    def request(
+    def count_request(
         self, request: "SteeredRequest", reply: "t.Optional[Reply]", seconds: float
     ) -> None:
         """Count a request that ended; without a reply, its caller left."""
@@ -91,25 +91,25 @@
             self._tenant_labels.add(tenant_id)
         return tenant_id
 
-    def refused(self, reply: "t.Optional[Reply]") -> None:
+    def count_rejected(self, reply: "t.Optional[Reply]") -> None:
         """Count a request that had no route or no valid form."""
         status = str(reply.status) if reply is not None else "0"
         reason = reply.reason if reply is not None else "caller-gone"
         self._requests.labels("none", status, reason).inc()
 
-    def crash(self, service: "ServiceId") -> None:
+    def count_crash(self, service: "ServiceId") -> None:
         """Count a target that went down under requests of this entry."""
         self._crashes.labels(service).inc()
 
-    def lookup(self, found: bool) -> None:
+    def count_lookup(self, found: bool) -> None:
         """Count a look-up."""
         self._lookups.labels("answered" if found else "refused").inc()
 
-    def loop_delay(self, seconds: float) -> None:
+    def observe_loop_delay(self, seconds: float) -> None:
         """Note by how much a timer was late."""
         self._loop_delay.observe(seconds)
 
-    def gauge(self, name: str, value: float, help_text: str, **labels: str) -> None:
+    def set_gauge(self, name: str, value: float, help_text: str, **labels: str) -> None:
         """Set a value that stays until it is set again."""
         gauge = self._gauges.get(name)
         if gauge is None:
@@ -118,7 +118,7 @@
             )
         (gauge.labels(**labels) if labels else gauge).set(value)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """All metrics in the scraper's format."""
         return prometheus_client.generate_latest(self.registry)
 
@@ -142,22 +142,22 @@
         self._node = node
 
     async def __call__(self, scope: "Scope", receive: "Receive", send: "Send") -> None:
-        set_gauges(self._telemetry, self._node)
-        body = self._telemetry.text()
+        update_gauges(self._telemetry, self._node)
+        body = self._telemetry.render()
         headers = [_CONTENT_TYPE, (b"content-length", str(len(body)).encode())]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         await send({"type": "http.response.body", "body": body})
 
 
-def set_gauges(telemetry: Telemetry, node: "Node") -> None:
+def update_gauges(telemetry: Telemetry, node: "Node") -> None:
     """Set each gauge to its value now."""
-    belief = node.belief
-    gauge = telemetry.gauge
+    state_view = node.state_view
+    gauge = telemetry.set_gauge
     gauge("ready", float(node.ready), "Whether callers are sent here.")
-    gauge("state_version", belief.version, "Version of the desired state in force.")
-    gauge("state_age_seconds", belief.state_age(), "Age of the desired state.")
-    gauge("targets_age_seconds", belief.targets_age(), "Age of what is known of the targets.")
-    gauge("peers_alive", len(node.members.alive()), "Other entries that are alive.")
+    gauge("state_version", state_view.version, "Version of the desired state in force.")
+    gauge("state_age_seconds", state_view.state_age_s(), "Age of the desired state.")
+    gauge("targets_age_seconds", state_view.targets_age_s(), "Age of what is known of the targets.")
+    gauge("peers_alive", len(node.members.alive_records()), "Other entries that are alive.")
     gauge("peers_suspected", node.members.suspected_count(), "Those that gave no answer lately.")
     gauge("requests_in_hand", node.callers.in_hand, "Requests being served.")
     gauge("connections_opened", node.pool.opened, "Connections opened to targets.")
--- a/src/coralfall/traffic/tenants.py
+++ b/src/coralfall/traffic/tenants.py
@@ -7,10 +7,10 @@
 
 if t.TYPE_CHECKING:
     from ..ids import RegionId, TenantId
-    from .belief import Belief
     from .connection import Headers
     from .model import Route, Tenant
     from .settings import BoundSettings
+    from .state_view import StateView
     from .wire import HeaderNames
 
 #: Reason of a request whose key no tenant of the newest state has.
@@ -51,9 +51,11 @@
     :param bounds: tell for how long a state may be behind.
     """
 
-    def __init__(self, names: "HeaderNames", belief: "Belief", bounds: "BoundSettings") -> None:
+    def __init__(
+        self, names: "HeaderNames", state_view: "StateView", bounds: "BoundSettings"
+    ) -> None:
         self._names = names
-        self._belief = belief
+        self._state_view = state_view
         self.bounds = bounds
 
     def tenant_of(self, headers: "Headers", route: "Route") -> "t.Optional[Tenant]":
@@ -62,7 +64,7 @@
         :raises RequestError: if it has no valid key.
         :raises RefusedError: if it may have one that this entry has not heard of.
         """
-        tenants = self._belief.tenants
+        tenants = self._state_view.tenants
         if not tenants.required or route.public:
             return None
         keys = {value for name, value in headers if name == self._names.credential}
@@ -72,7 +74,7 @@
         tenant = tenants.find(keys.pop())
         if tenant is not None:
             return tenant
-        if self._belief.state_age() > self.bounds.config_s:
+        if self._state_view.state_age_s() > self.bounds.config_s:
             message = "the key is not known here, where the desired state may be behind"
             raise RefusedError(message, defaults.COME_BACK_S, reason=STATE_OLD)
         raise RequestError(UNKNOWN_KEY, 401, "the key belongs to no tenant")
--- a/tests/platform_adapter/test_adapter.py
+++ b/tests/platform_adapter/test_adapter.py
@@ -31,8 +31,8 @@
 from coralfall.traffic.connection import connect
 from coralfall.traffic.model import DesiredState, RequestKind
 from coralfall.traffic.replica import Replica
+from coralfall.traffic.row_codec import Evacuation
 from coralfall.traffic.settings import BoundSettings, StoreSettings
-from coralfall.traffic.translator import Evacuation
 from tests.platform_adapter.standins import StoreStandin, config
 from tests.traffic.makers import make_record
 
@@ -92,10 +92,10 @@
 
 
 class RowsTest(unittest.TestCase):
-    translator = PlatformTranslator()
+    row_codec = PlatformTranslator()
 
     def test_a_desired_state(self) -> None:
-        state = self.translator.state_row("op/config", json.dumps(config(7)).encode())
+        state = self.row_codec.decode_state_row("op/config", json.dumps(config(7)).encode())
         assert isinstance(state, DesiredState)
         route = state.routes[0]
         self.assertEqual(
@@ -121,7 +121,7 @@
     )
     def test_a_desired_state_that_can_t_be_read(self, _name: str, data: bytes, told: str) -> None:
         with self.assertRaises(DesiredStateError) as caught:
-            self.translator.state_row("op/config", data)
+            self.row_codec.decode_state_row("op/config", data)
         self.assertIn(told, caught.exception.message)
 
     def test_tenants(self) -> None:
@@ -135,7 +135,7 @@
             },
             {"name": "t2", "allowedRegions": ["sierra"]},
         ]
-        state = self.translator.state_row("op/config", tenants_row(rows))
+        state = self.row_codec.decode_state_row("op/config", tenants_row(rows))
         assert isinstance(state, DesiredState) and state.tenants is not None
         first, second = state.tenants
         self.assertEqual((b"k1", "k\u00e9".encode()), first.keys)
@@ -147,7 +147,7 @@
     @parameterized.expand([("left out", {}, None), ("none", {"tenants": []}, ())])
     def test_no_tenants(self, _name: str, part: t.Dict[str, t.Any], expected: t.Any) -> None:
         row = json.dumps({**config(1), **part}).encode()
-        state = self.translator.state_row("op/config", row)
+        state = self.row_codec.decode_state_row("op/config", row)
         assert isinstance(state, DesiredState)
         self.assertEqual(expected, state.tenants)
 
@@ -173,15 +173,15 @@
         self, _name: str, rows: t.List[t.Dict[str, t.Any]], told: str
     ) -> None:
         with self.assertRaises(DesiredStateError) as caught:
-            self.translator.state_row("op/config", tenants_row(rows))
+            self.row_codec.decode_state_row("op/config", tenants_row(rows))
         self.assertIn(told, caught.exception.message)
         self.assertNotIn("sesame", str(caught.exception.as_dict()))
 
     def test_other_rows(self) -> None:
         self.assertEqual(
-            Evacuation(t.cast(t.Any, "z")), self.translator.state_row("op/evacuate/z", b"{}")
+            Evacuation(t.cast(t.Any, "z")), self.row_codec.decode_state_row("op/evacuate/z", b"{}")
         )
-        self.assertIsNone(self.translator.state_row("op/something", b"{}"))
+        self.assertIsNone(self.row_codec.decode_state_row("op/something", b"{}"))
 
     def test_a_target(self) -> None:
         row = {
@@ -189,7 +189,7 @@
             "info": {"service": "s", "version": "v", "zone": "z", "concurrency": 6},
             "status": {"state": "draining", "sequence": 3, "warmupLeftS": 1.5},
         }
-        target = self.translator.target_row("servers/i-1", json.dumps(row).encode())
+        target = self.row_codec.decode_target_row("servers/i-1", json.dumps(row).encode())
         self.assertEqual(
             ("i-1", "s", 6, True, 1.5),
             (target.target_id, target.service, target.slots, target.leaving, target.cold_s),
@@ -232,18 +232,18 @@
         if value is None:
             del place[path[-1]]
         with self.assertRaises(DesiredStateError) as caught:
-            self.translator.target_row("servers/i-1", json.dumps(row).encode())
+            self.row_codec.decode_target_row("servers/i-1", json.dumps(row).encode())
         self.assertIn(told, caught.exception.message)
 
     def test_a_target_that_told_its_birth_always_does(self) -> None:
-        translator = PlatformTranslator()
+        row_codec = PlatformTranslator()
         plain = json.dumps(target_row()).encode()
-        self.assertIsNone(translator.target_row("servers/i-1", plain).born)
+        self.assertIsNone(row_codec.decode_target_row("servers/i-1", plain).born)
         born = json.dumps(target_row(born=5)).encode()
-        self.assertEqual(5, translator.target_row("servers/i-1", born).born)
+        self.assertEqual(5, row_codec.decode_target_row("servers/i-1", born).born)
         with self.assertRaises(DesiredStateError):
-            translator.target_row("servers/i-1", plain)
-        self.assertIsNone(translator.target_row("servers/i-2", plain).born)
+            row_codec.decode_target_row("servers/i-1", plain)
+        self.assertIsNone(row_codec.decode_target_row("servers/i-2", plain).born)
 
     @hypothesis.given(
         data=st.one_of(
@@ -262,9 +262,9 @@
     @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
     def test_whatever_bytes_come_a_row_is_read_or_refused(self, data: bytes) -> None:
         for read in (
-            lambda: self.translator.target_row("servers/i-1", data),
-            lambda: self.translator.state_row("op/config", data),
-            lambda: self.translator.read_entry_row("entries/e1", data),
+            lambda: self.row_codec.decode_target_row("servers/i-1", data),
+            lambda: self.row_codec.decode_state_row("op/config", data),
+            lambda: self.row_codec.decode_entry_row("entries/e1", data),
         ):
             try:
                 read()
@@ -277,7 +277,7 @@
         good = json.dumps(target_row(born=5)).encode()
         at = position % len(good)
         foreign = good[:at] + bytes([byte]) + good[at + 1 :]
-        replica = Replica("targets", PlatformTranslator().target_row, drops_unreadable=True)
+        replica = Replica("targets", PlatformTranslator().decode_target_row, drops_unreadable=True)
         rows = [
             Row("servers/i-1", good, Revision(1)),
             Row("servers/i-2", foreign, Revision(2)),
@@ -288,8 +288,8 @@
 
     def test_an_entry_s_own_row(self) -> None:
         record = make_record("e1")
-        key, data = self.translator.entry_row(record)
-        self.assertEqual(record, self.translator.read_entry_row(key, data))
+        key, data = self.row_codec.encode_entry_row(record)
+        self.assertEqual(record, self.row_codec.decode_entry_row(key, data))
 
 
 def target_row(**fields: t.Any) -> t.Dict[str, t.Any]:
--- a/tests/platform_adapter/test_template.py
+++ b/tests/platform_adapter/test_template.py
@@ -21,7 +21,7 @@
 from coralfall.traffic.pace import pace_of
 from coralfall.traffic.settings import SteerSettings
 from tests.checks import make_folder
-from tests.traffic.makers import PEDIDOS, share_of
+from tests.traffic.makers import PEDIDOS, cold_share_of
 
 TEMPLATE = pathlib.Path(__file__).parent.parent.parent / "deploy" / "entry.toml"
 #: Numbers that the template asks for, by the platform's names.
@@ -65,13 +65,13 @@
     def test_any_amount_is_taken_and_can_be_used(self, given: t.Dict[str, t.Any]) -> None:
         settings = load(given)
         bounds = settings.bounds
-        pace = pace_of(min(bounds.state_bound_s(), bounds.drain_s))
+        pace = pace_of(min(bounds.state_deadline_s(), bounds.drain_s))
         used = (
-            bounds.leave_s(),
+            bounds.shutdown_serve_s(),
             bounds.lookup_ttl_s(),
-            bounds.shares_per_s(),
-            settings.caller_connections(),
-            share_of(settings.entry_id, [settings.entry_id], t.cast(t.Any, "t"), 1.0),
+            bounds.home_shift_per_s(),
+            settings.max_caller_connections(),
+            cold_share_of(settings.entry_id, [settings.entry_id], t.cast(t.Any, "t"), 1.0),
             pace.interval_s,
         )
         for number in used:
@@ -79,7 +79,7 @@
         budget = SendBudget(bounds, ManualClock(100.0))
         budget.request(PEDIDOS)
         self.assertIn(budget.take(PEDIDOS), (True, False))
-        self.assertGreater(settings.caller_connections(), 0)
+        self.assertGreater(settings.max_caller_connections(), 0)
         self.assertGreaterEqual(pace.interval_s, 0.05, "the store is asked without a pause")
 
     @parameterized.expand([(name,) for name in NUMBERS])
--- a/tests/traffic/makers.py
+++ b/tests/traffic/makers.py
@@ -115,7 +115,7 @@
     return EntryRecord(**{**fields, **changes})
 
 
-def share_of(
+def cold_share_of(
     entry_id: EntryId, entries: t.Collection[EntryId], target_id: TargetId, per_s: float
 ) -> int:
     """What one entry may send to a cold target, as it knows the entries."""
@@ -124,7 +124,7 @@
     return shares.of(target_id, per_s)
 
 
-class Steered:
+class SteeringFixture:
     """A steering with targets on a clock that is moved by hand."""
 
     def __init__(
@@ -134,7 +134,7 @@
         settings: t.Optional[SteerSettings] = None,
     ) -> None:
         self.clock = ManualClock(100.0)
-        self.targets = TargetBook(self.clock, make_settings().bounds.target_row_s())
+        self.targets = TargetBook(self.clock, make_settings().bounds.target_visibility_s())
         self.steering = AffinitySteering(settings or make_settings(), self.targets, self.clock)
         self.steering.set_state(make_state())
         self.steering.cold_shares.set_entries([EntryId(name) for name in entries])
@@ -146,6 +146,6 @@
         self.targets.update(by_id)
 
 
-def seeded() -> random.Random:
+def seeded_rng() -> random.Random:
     """Randomness that is the same in each run."""
     return random.Random(7)
--- a/tests/traffic/quota_fleet.py
+++ b/tests/traffic/quota_fleet.py
@@ -41,19 +41,19 @@
     """Who an entry thinks is there: what is so, some time later."""
 
     def __init__(self, record: EntryRecord) -> None:
-        self.own = record
-        self.met = True
+        self.own_record = record
+        self.has_discovered_peers = True
         self._serving: t.Tuple[EntryRecord, ...] = (record,)
         self._all = 1
 
-    def hear(self, serving: t.Sequence[EntryRecord], count: int) -> None:
+    def merge_records(self, serving: t.Sequence[EntryRecord], count: int) -> None:
         self._serving = tuple(sorted(serving, key=lambda record: record.entry_id))
         self._all = count
 
-    def serving(self) -> t.Sequence[EntryRecord]:
+    def serving_records(self) -> t.Sequence[EntryRecord]:
         return self._serving
 
-    def count(self) -> int:
+    def fleet_size(self) -> int:
         return self._all
 
 
@@ -63,7 +63,7 @@
     return Permits(t.cast(t.Any, members), t.cast(t.Any, None), Ledger(clock), clock)
 
 
-class FakeBelief:
+class FakeStateView:
     """The tenants that an entry knows."""
 
     def __init__(self, *tenants: Tenant) -> None:
@@ -144,8 +144,8 @@
             region=REGIONS[self.number % self._fleet.regions],
         )
         self.members = FakeMembers(self.record)
-        self.members.met = False
-        self.belief = FakeBelief(self._fleet.tenant)
+        self.members.has_discovered_peers = False
+        self.state_view = FakeStateView(self._fleet.tenant)
         self.permits = Permits(
             t.cast(t.Any, self.members),
             t.cast(t.Any, FakeLinks(self._fleet, self)),
@@ -153,7 +153,7 @@
             self._clock,
         )
         self.quotas = Quotas(
-            self.permits, t.cast(t.Any, self.belief), self._fleet.bounds, self._clock
+            self.permits, t.cast(t.Any, self.state_view), self._fleet.bounds, self._clock
         )
         self.permits.sources.append(self.quotas)
         self.running = True
@@ -165,8 +165,8 @@
 
     def leave(self) -> None:
         """Be told to stop."""
-        record = self.members.own
-        self.members.own = make_record(
+        record = self.members.own_record
+        self.members.own_record = make_record(
             self.entry_id,
             incarnation=self.incarnation,
             peer_address=record.peer_address,
@@ -236,11 +236,11 @@
                 other.record
                 for other in self.entries
                 if other.running
-                and other.members.own.state is EntryState.SERVING
+                and other.members.own_record.state is EntryState.SERVING
                 and (other.group == entry.group)
             ]
-            entry.members.met = True
-            entry.members.hear(serving, len(self.entries))
+            entry.members.has_discovered_peers = True
+            entry.members.merge_records(serving, len(self.entries))
 
     def tell_all_later(self, seconds: float = NEWS_S) -> None:
         self._spawn(self._tell_all_after(seconds))
@@ -250,7 +250,7 @@
         self.tenant = tenant
         for entry in self.entries:
             if entry.running and not entry.group:
-                entry.belief.tenants = TenantTable((tenant,))
+                entry.state_view.tenants = TenantTable((tenant,))
 
     def cut(self, entries: t.Iterable[QuotaEntry], apart: bool = False) -> None:
         """Cut entries off, together or each for itself."""
@@ -299,7 +299,7 @@
     async def _ask(self, entry: QuotaEntry) -> None:
         asked_at = self.clock.monotonic()
         try:
-            await entry.quotas.take(entry.belief.tenants.by_id[self.tenant.tenant_id])
+            await entry.quotas.take(entry.state_view.tenants.by_id[self.tenant.tenant_id])
         except OverLimitError:
             self.over_at.append(asked_at)
             return
--- a/tests/traffic/test_cooldowns.py
+++ b/tests/traffic/test_cooldowns.py
@@ -14,7 +14,7 @@
 from coralfall.placement.targets import TargetState
 from coralfall.traffic.model import Target
 from coralfall.traffic.reply import Reply
-from tests.traffic.makers import COSTA, PEDIDOS, PUERTO, Steered, make_route, make_target
+from tests.traffic.makers import COSTA, PEDIDOS, PUERTO, SteeringFixture, make_route, make_target
 from tests.traffic.raw_target import RawTarget, Script, Turn
 from tests.traffic.test_forwarder import Path, ok
 
@@ -28,7 +28,7 @@
     def setUp(self) -> None:
         self.resting = [make_target(number, born=1000) for number in (1, 2)]
         self.spare = make_target(3, born=1000)
-        self.steered = Steered(*self.resting, self.spare)
+        self.steered = SteeringFixture(*self.resting, self.spare)
         for target in self.resting:
             self.say(target, _RESTS)
 
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -23,13 +23,13 @@
     NORTE,
     PEDIDOS,
     PUERTO,
-    Steered,
+    SteeringFixture,
+    cold_share_of,
     make_route,
     make_settings,
     make_state,
     make_target,
-    seeded,
-    share_of,
+    seeded_rng,
 )
 
 
@@ -68,14 +68,14 @@
     def test_few_requests_keep_the_shares(self, _name: str, weights: t.Tuple[float, ...]) -> None:
         backends = [Backend(ServiceId(f"s{n}"), weight) for n, weight in enumerate(weights)]
         route = make_route(backends=tuple(backends))
-        split = Split(seeded())
+        split = Split(seeded_rng())
         counts = collections.Counter(split.choose(route) for _ in range(100))
         for backend in backends:
             share = backend.weight / sum(weights)
             self.assertAlmostEqual(share, counts[backend.service] / 100, delta=0.03)
 
     def test_a_changed_weight_is_in_force_at_once(self) -> None:
-        split = Split(seeded())
+        split = Split(seeded_rng())
         split.choose(make_route(backends=(Backend(ServiceId("a"), 1), Backend(ServiceId("b"), 1))))
         moved = make_route(backends=(Backend(ServiceId("a"), 0), Backend(ServiceId("b"), 1)))
         self.assertEqual({ServiceId("b")}, {split.choose(moved) for _ in range(20)})
@@ -125,7 +125,7 @@
 
 
 class AffinityTest(unittest.TestCase):
-    def choose(self, steered: Steered, key: str, **options: t.Any) -> TargetId:
+    def choose(self, steered: SteeringFixture, key: str, **options: t.Any) -> TargetId:
         route = options.get("route", make_route())
         place = steered.steering.choose(route, PEDIDOS, key.encode(), options.get("tried", ()))
         if not options.get("held", False):
@@ -134,14 +134,14 @@
 
     def test_entries_agree_without_talking(self) -> None:
         targets = [make_target(number) for number in range(20)]
-        one = Steered(*targets)
-        other = Steered(*reversed(targets))
+        one = SteeringFixture(*targets)
+        other = SteeringFixture(*reversed(targets))
         for key in range(50):
             self.assertEqual(self.choose(one, str(key)), self.choose(other, str(key)))
 
     def test_few_objects_move_when_a_target_leaves(self) -> None:
         targets = [make_target(number, slots=1000) for number in range(20)]
-        steered = Steered(*targets)
+        steered = SteeringFixture(*targets)
         before = {key: self.choose(steered, str(key)) for key in range(300)}
         steered.set_targets(*targets[1:])
         moved = [key for key in before if self.choose(steered, str(key)) != before[key]]
@@ -150,7 +150,7 @@
             self.assertEqual(TargetId("t0"), before[key])
 
     def test_homes_are_filled_in_order_and_then_the_request_is_refused(self) -> None:
-        steered = Steered(*[make_target(number, slots=2) for number in range(5)])
+        steered = SteeringFixture(*[make_target(number, slots=2) for number in range(5)])
         chosen: t.List[TargetId] = []
         with self.assertRaises(RefusedError) as caught:
             while True:
@@ -172,7 +172,7 @@
     def test_a_second_home_learns_only_where_it_has_room(
         self, _name: str, taken: int, known: bool, load: int, expected: str
     ) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         first = steered.targets.by_id[self.choose(steered, "x")]
         (second,) = [one for one in steered.targets.by_id.values() if one is not first]
         if known:
@@ -192,7 +192,7 @@
     def test_after_a_shed_without_shortage(
         self, _name: str, affinity: bool, known: bool, same: bool
     ) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         shed = steered.targets.by_id[self.choose(steered, "x")]
         shed.succeed()
         self.assertTrue(shed.sheds_at_random())
@@ -205,7 +205,7 @@
         self.assertIs(shed if same else other, place.state)
 
     def test_callers_come_back_when_the_queue_is_gone(self) -> None:
-        steered = Steered(make_target(1))
+        steered = SteeringFixture(make_target(1))
         steered.steering.admission.note_duration(PEDIDOS, 0.4)
         steered.targets.by_id[TargetId("t1")].report(4, 8)
         with self.assertRaises(RefusedError) as caught:
@@ -213,7 +213,7 @@
         self.assertAlmostEqual(0.9, caught.exception.retry_after)
 
     def test_late_callers_come_back_last(self) -> None:
-        steered = Steered(make_target(1))
+        steered = SteeringFixture(make_target(1))
         steered.targets.by_id[TargetId("t1")].report(4, 0)
         with self.assertRaises(RefusedError) as caught:
             steered.steering.choose(make_route(), PEDIDOS, b"x", (), late=True)
@@ -222,7 +222,7 @@
         )
 
     def test_a_target_that_learns_behind_a_queue_is_not_quiet(self) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         steered.steering.admission.note_duration(PEDIDOS, 0.12)
         steered.steering.admission.note_duration(PEDIDOS, 0.5, known=False)
         place = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
@@ -232,7 +232,7 @@
         self.assertTrue(place.state.is_quiet())
 
     def test_a_released_target_is_chosen_again(self) -> None:
-        steered = Steered(make_target(1, slots=1))
+        steered = SteeringFixture(make_target(1, slots=1))
         held = [steered.steering.choose(make_route(), PEDIDOS, b"x", ()) for _ in range(3)]
         with self.assertRaises(RefusedError):
             self.choose(steered, "x")
@@ -241,7 +241,7 @@
         self.assertEqual(TargetId("t1"), self.choose(steered, "x"))
 
     def test_a_target_s_own_word_counts_and_fades(self) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         first = steered.targets.by_id[self.choose(steered, "x")]
         first.report(running=4, waiting=4)
         self.assertNotEqual(first.target.target_id, self.choose(steered, "x"))
@@ -255,27 +255,27 @@
         ]
     )
     def test_not_chosen(self, _name: str, changes: t.Dict[str, t.Any]) -> None:
-        steered = Steered(make_target(1, **changes), make_target(2, slots=1000))
+        steered = SteeringFixture(make_target(1, **changes), make_target(2, slots=1000))
         steered.targets.evacuate(frozenset({PUERTO}))
         for key in range(20):
             self.assertEqual(TargetId("t2"), self.choose(steered, str(key)))
 
     def test_the_last_check_sees_what_changed_since_the_choice(self) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         state = steered.steering.choose(make_route(), PEDIDOS, b"x", ()).state
         self.assertTrue(steered.targets.may_use(state))
         steered.targets.evacuate(frozenset({NORTE}))
         self.assertFalse(steered.targets.may_use(state))
 
     def test_regions_that_a_route_is_held_to(self) -> None:
-        steered = Steered(make_target(1), make_target(2, zone=PUERTO, slots=1000))
+        steered = SteeringFixture(make_target(1), make_target(2, zone=PUERTO, slots=1000))
         route = make_route(allowed_regions=frozenset({COSTA}))
         for key in range(20):
             self.assertEqual(TargetId("t2"), self.choose(steered, str(key), route=route))
 
     @parameterized.expand([("not reached", False, 1), ("broke off", True, 3)])
     def test_a_failing_target_rests(self, _name: str, reached: bool, failures: int) -> None:
-        steered = Steered(make_target(1), make_target(2, slots=1000))
+        steered = SteeringFixture(make_target(1), make_target(2, slots=1000))
         state = steered.targets.by_id[TargetId("t1")]
         for _ in range(failures):
             self.assertTrue(state.usable())
@@ -294,7 +294,7 @@
     def test_a_quiet_target_is_passed_over(
         self, _name: str, answered_s: t.Optional[float], waited_s: float, passed_over: bool
     ) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         steered.steering.admission.note_duration(PEDIDOS, 0.2)
         place = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
         home = place.state.target.target_id
@@ -309,7 +309,7 @@
     def test_a_target_that_lets_a_request_s_time_pass(
         self, _name: str, answered: bool, rests: bool
     ) -> None:
-        steered = Steered(make_target(1))
+        steered = SteeringFixture(make_target(1))
         state = steered.targets.by_id[TargetId("t1")]
         began = steered.clock.monotonic()
         steered.clock.advance(1.0)
@@ -332,7 +332,7 @@
     def test_admission(
         self, _name: str, left_s: float, load: int, late: bool, reason: t.Optional[str]
     ) -> None:
-        steered = Steered(make_target(1, slots=4))
+        steered = SteeringFixture(make_target(1, slots=4))
         steered.steering.admission.note_duration(PEDIDOS, 0.2)
         steered.targets.by_id[TargetId("t1")].report(load, 0)
         got: t.Optional[str] = None
@@ -352,16 +352,16 @@
     def test_a_target_that_was_down_is_cold_until_its_row_would_tell(
         self, _name: str, refused: bool, failures: int, cold: bool
     ) -> None:
-        steered = Steered(make_target(1))
+        steered = SteeringFixture(make_target(1))
         state = steered.targets.by_id[TargetId("t1")]
         for _ in range(failures):
             state.fail(reached=False, refused=refused)
         self.assertEqual(cold, state.is_cold())
-        steered.clock.advance(make_settings().bounds.target_row_s())
+        steered.clock.advance(make_settings().bounds.target_visibility_s())
         self.assertFalse(state.is_cold())
 
     def test_kept_connections_of_a_lifetime_that_is_over_are_dropped(self) -> None:
-        steered = Steered(make_target(1, born=1))
+        steered = SteeringFixture(make_target(1, born=1))
         ended: t.List[t.Optional[int]] = []
         steered.targets.on_restart = lambda target: ended.append(target.born)
         steered.set_targets(make_target(1, born=1, cold_s=1.0))
@@ -369,13 +369,13 @@
         self.assertEqual([1], ended)
 
     def test_if_all_rest_they_are_tried_all_the_same(self) -> None:
-        steered = Steered(make_target(1), make_target(2))
+        steered = SteeringFixture(make_target(1), make_target(2))
         for state in steered.targets.by_id.values():
             state.fail(reached=False)
         self.assertIn(self.choose(steered, "x"), ("t1", "t2"))
 
     def test_who_is_late(self) -> None:
-        admission = Steered().steering.admission
+        admission = SteeringFixture().steering.admission
         route = make_route(latency_target_s=0.3)
         for _ in range(20):
             admission.note_arrival(route, 2.5)
@@ -383,7 +383,7 @@
         self.assertEqual([2.1, 0.5], late)
 
     def test_a_replaced_target_is_never_chosen_again(self) -> None:
-        steered = Steered(make_target(1), make_target(2, slots=1000))
+        steered = SteeringFixture(make_target(1), make_target(2, slots=1000))
         steered.targets.drop(steered.targets.by_id[TargetId("t1")])
         for key in range(20):
             self.assertEqual(TargetId("t2"), self.choose(steered, str(key)))
@@ -405,7 +405,7 @@
         self, _name: str, changes: t.Dict[str, t.Any], leave_s: float, ttl_s: float, per_s: float
     ) -> None:
         bounds = BoundSettings(**changes)
-        found = (bounds.leave_s(), bounds.lookup_ttl_s(), bounds.shares_per_s())
+        found = (bounds.shutdown_serve_s(), bounds.lookup_ttl_s(), bounds.home_shift_per_s())
         for expected, value in zip((leave_s, ttl_s, per_s), found, strict=True):
             self.assertAlmostEqual(expected, value)
 
@@ -430,16 +430,16 @@
     def test_connections_of_callers_leave_some_for_targets(
         self, _name: str, max_files: int, expected: int
     ) -> None:
-        self.assertEqual(expected, make_settings(max_files=max_files).caller_connections())
+        self.assertEqual(expected, make_settings(max_files=max_files).max_caller_connections())
 
     def test_what_the_operator_writes_is_bound_by_the_tighter_of_two(self) -> None:
-        self.assertEqual(1.5, BoundSettings(config_s=4.0, evacuation_s=1.5).state_bound_s())
+        self.assertEqual(1.5, BoundSettings(config_s=4.0, evacuation_s=1.5).state_deadline_s())
 
 
 class SharesTest(unittest.TestCase):
     """Where the objects of sierra's callers have their first home."""
 
-    def homes(self, steered: Steered, keys: int = 400) -> t.Dict[str, str]:
+    def homes(self, steered: SteeringFixture, keys: int = 400) -> t.Dict[str, str]:
         found = {}
         for number in range(keys):
             place = steered.steering.choose(make_route(), PEDIDOS, str(number).encode(), ())
@@ -460,11 +460,11 @@
     def test_part_that_stays(self, _name: str, near: int, far: int, part: float) -> None:
         targets = [make_target(number) for number in range(near)]
         targets += [make_target(100 + number, zone=PUERTO) for number in range(far)]
-        homes = self.homes(Steered(*targets))
+        homes = self.homes(SteeringFixture(*targets))
         self.assertAlmostEqual(part, list(homes.values()).count(NORTE) / len(homes), delta=0.06)
 
     def test_the_second_home_is_in_another_region(self) -> None:
-        steered = Steered(
+        steered = SteeringFixture(
             *[make_target(number, slots=1) for number in range(4)],
             *[make_target(100 + number, slots=1, zone=PUERTO) for number in range(4)],
         )
@@ -478,7 +478,7 @@
     def test_the_part_moves_slowly_when_room_does(self) -> None:
         near = [make_target(number) for number in range(4)]
         far = [make_target(100 + number, zone=PUERTO) for number in range(12)]
-        steered = Steered(*near, *far)
+        steered = SteeringFixture(*near, *far)
         before = self.homes(steered)
         steered.set_targets(*near[:2], *far)
         moved = []
@@ -507,16 +507,18 @@
         total = 0
         for number, name in enumerate(names):
             view = names if number % 2 or name not in fewer else fewer
-            total += share_of(name, view, TargetId("t1"), per_s)
+            total += cold_share_of(name, view, TargetId("t1"), per_s)
         self.assertLessEqual(total, per_s)
 
     def test_some_entry_warms_it(self) -> None:
         names = [EntryId(f"e{number}") for number in range(530)]
-        shares = [share_of(name, names, TargetId("t1"), 18.5) for name in names]
+        shares = [cold_share_of(name, names, TargetId("t1"), 18.5) for name in names]
         self.assertEqual(11, sum(shares))
 
     def test_a_cold_target_gets_its_share_in_any_second(self) -> None:
-        steered = Steered(make_target(1, cold_s=3.0, slots=1000), make_target(2, slots=1000))
+        steered = SteeringFixture(
+            make_target(1, cold_s=3.0, slots=1000), make_target(2, slots=1000)
+        )
         sent: t.List[float] = []
         for number in range(290):
             key = str(number % 10).encode()
@@ -532,7 +534,7 @@
     @parameterized.expand([("given back", True), ("another zone", False)])
     def test_zones_that_are_given_back_are_cold(self, _name: str, returned: bool) -> None:
         zone = PUERTO if returned else NORTE
-        steered = Steered(make_target(1, zone=zone))
+        steered = SteeringFixture(make_target(1, zone=zone))
         steered.targets.evacuate(frozenset({PUERTO}))
         steered.targets.evacuate(frozenset())
         state = steered.targets.by_id[TargetId("t1")]
--- a/tests/traffic/test_departures.py
+++ b/tests/traffic/test_departures.py
@@ -11,17 +11,17 @@
 from coralfall.ids import TargetId
 from coralfall.placement.target_reports import TargetReport
 from coralfall.process.clock import ManualClock
-from coralfall.traffic.messages import News
+from coralfall.traffic.messages import GossipMessage
 from coralfall.traffic.model import Target
-from tests.traffic.known import Known
-from tests.traffic.makers import PEDIDOS, Steered, make_route, make_target
+from tests.traffic.entry_fixture import EntryFixture
+from tests.traffic.makers import PEDIDOS, SteeringFixture, make_route, make_target
 from tests.traffic.raw_target import RawTarget, Script, Turn
 from tests.traffic.test_forwarder import Path, ok
 
 _LEAVES = TargetReport(leaving=True)
 
 
-def say_leaving(steered: Steered, target: Target) -> None:
+def say_leaving(steered: SteeringFixture, target: Target) -> None:
     steered.targets.reports.note(steered.targets.by_id[target.target_id], _LEAVES, 0.0)
 
 
@@ -31,7 +31,7 @@
     def setUp(self) -> None:
         self.target = make_target(1, born=1000)
         self.other = make_target(2, born=1000)
-        self.steered = Steered(self.target, self.other)
+        self.steered = SteeringFixture(self.target, self.other)
         say_leaving(self.steered, self.target)
 
     def chosen(self) -> t.Set[str]:
@@ -71,7 +71,7 @@
         self.assertEqual((1, 1), (counts["leaving"], counts["usable"]))
 
     def test_it_is_not_waited_for_in_an_outage(self) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_targets(1, self.target, self.other)
         say_leaving(known.steered, self.target)
         known.clock.advance(20.0)
@@ -144,7 +144,7 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
-        self.fleet = [Known(f"e{number}", self.clock) for number in range(3)]
+        self.fleet = [EntryFixture(f"e{number}", self.clock) for number in range(3)]
         self.target = make_target(born=1000)
         self.fleet[0].reports.departures.note(self.target)
 
@@ -155,7 +155,7 @@
         self.fleet[asker].exchange.take(_sent(answer), self.clock.monotonic())
 
     def tick(self, *targets: Target) -> None:
-        steered = Steered(*targets)
+        steered = SteeringFixture(*targets)
         for one in self.fleet:
             one.reports.tick(steered.targets.by_id)
 
@@ -194,10 +194,10 @@
 
     def test_entries_of_the_version_before_are_understood(self) -> None:
         whole = msgspec.msgpack.decode(msgspec.msgpack.encode(self.fleet[0].exchange.news()))
-        before = whole[: 1 + News.__struct_fields__.index("departures")]
-        told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=News)
+        before = whole[: 1 + GossipMessage.__struct_fields__.index("departures")]
+        told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
         self.assertEqual(((), 0), (told.departures, told.departures_sum))
 
 
-def _sent(news: News) -> News:
-    return msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=News)
+def _sent(news: GossipMessage) -> GossipMessage:
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=GossipMessage)
--- a/tests/traffic/test_gossip.py
+++ b/tests/traffic/test_gossip.py
@@ -18,11 +18,11 @@
 from coralfall.traffic.follower import Follower
 from coralfall.traffic.gossip import Gossip, in_relay_order
 from coralfall.traffic.members import Members
-from coralfall.traffic.messages import News
+from coralfall.traffic.messages import GossipMessage
 from coralfall.traffic.pace import pace_of
-from tests.traffic.known import Known
-from tests.traffic.makers import make_record, make_settings, make_state, make_target, seeded
-from tests.traffic.test_knowledge import RowsFeed
+from tests.traffic.entry_fixture import EntryFixture
+from tests.traffic.makers import make_record, make_settings, make_state, make_target, seeded_rng
+from tests.traffic.test_knowledge import MemoryFeed
 from tests.virtual_loop import LoopClock, run_virtual
 
 TARGETS = 300
@@ -34,8 +34,8 @@
 class CarryingLinks:
     """Carries messages to the entries known to it, and counts those that bring all rows."""
 
-    def __init__(self, others: t.Sequence[Known], way_s: float) -> None:
-        self.others = {known.members.own.peer_address: known for known in others}
+    def __init__(self, others: t.Sequence[EntryFixture], way_s: float) -> None:
+        self.others = {known.members.own_record.peer_address: known for known in others}
         self.way_s = way_s
         self.brought_all = 0
         #: Addresses that take a question and never answer.
@@ -45,8 +45,8 @@
         self.asked: t.List[str] = []
 
     async def exchange(
-        self, address: str, message: News, *_options: t.Any, **_more: t.Any
-    ) -> "Answer[News]":
+        self, address: str, message: GossipMessage, *_options: t.Any, **_more: t.Any
+    ) -> "Answer[GossipMessage]":
         self.asked.append(address)
         await asyncio.sleep(self.way_s)
         if address in self.refusing or address not in self.others:
@@ -72,18 +72,20 @@
     @parameterized.expand([("all answer", 0), ("one is silent", 1), ("most are silent", 7)])
     def test_an_entry_that_starts_gets_all_rows_once(self, _name: str, silent: int) -> None:
         async def main(clock: LoopClock) -> t.Tuple[int, int, float]:
-            others = [Known(f"e{number}", clock) for number in range(8)]
+            others = [EntryFixture(f"e{number}", clock) for number in range(8)]
             for known in others:
                 known.learn_state(1, "state/a", make_state(3))
                 known.learn_targets(2, *[make_target(number) for number in range(TARGETS)])
             links = CarryingLinks(others, 0.02)
-            links.silent = {known.members.own.peer_address for known in others[:silent]}
-            new = Known("new", clock)
-            new.members.hear([known.members.own for known in others])
-            gossip = Gossip(new.exchange, new.members, t.cast(t.Any, links), [], clock, seeded())
+            links.silent = {known.members.own_record.peer_address for known in others[:silent]}
+            new = EntryFixture("new", clock)
+            new.members.merge_records([known.members.own_record for known in others])
+            gossip = Gossip(
+                new.exchange, new.members, t.cast(t.Any, links), [], clock, seeded_rng()
+            )
             began = clock.monotonic()
             work = asyncio.create_task(gossip.run())
-            while not new.belief.complete:  # noqa: ASYNC110
+            while not new.state_view.is_complete:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             took_s = clock.monotonic() - began
             await asyncio.sleep(3.0)
@@ -103,14 +105,14 @@
         self,
         name: str,
         clock: Clock,
-        feed: RowsFeed,
+        feed: MemoryFeed,
         links: CarryingLinks,
         seeds: t.Sequence[str],
         first_start: bool = False,
         seed: int = 0,
     ) -> None:
-        self.known = Known(name, clock, seed=seed)
-        own = self.known.members.own
+        self.known = EntryFixture(name, clock, seed=seed)
+        own = self.known.members.own_record
         settings = make_settings(
             peer_address=own.peer_address, seeds=tuple(seeds), first_start=first_start
         )
@@ -125,35 +127,35 @@
         self._settings = settings
         self.followers = [self._follower(prefix, feed) for prefix in ("state/", "targets/")]
 
-    def _follower(self, prefix: str, feed: RowsFeed) -> Follower:
-        belief = self.known.belief
+    def _follower(self, prefix: str, feed: MemoryFeed) -> Follower:
+        state_view = self.known.state_view
         of_state = prefix == "state/"
         return Follower(
             prefix,
-            belief.state_rows if of_state else belief.target_rows,
+            state_view.state_rows if of_state else state_view.target_rows,
             feed,
             self.known.members,
             self.known.clock,
-            belief.store_clock,
-            seeded(),
+            state_view.store_clock,
+            seeded_rng(),
             pace=pace_of(2.0),
             held=of_state,
             before=lambda age: None,
-            changed=belief.state_changed if of_state else belief.targets_changed,
+            changed=state_view.apply_state_changes if of_state else state_view.apply_target_changes,
             hand_on=lambda since: None,
-            patience_s=self._settings.start_patience_s(),
+            patience_s=self._settings.first_start_wait_s(),
         )
 
     async def run(self) -> None:
         await asyncio.gather(self.gossip.run(), *[follower.run() for follower in self.followers])
 
     def ready(self) -> bool:
-        return self.known.belief.complete
+        return self.known.state_view.is_complete
 
 
-def filled_feed(clock: Clock, targets: int) -> RowsFeed:
+def filled_feed(clock: Clock, targets: int) -> MemoryFeed:
     """A store with a desired state and targets."""
-    feed = RowsFeed(clock)
+    feed = MemoryFeed(clock)
     feed.put("state/a", make_state(3))
     for number in range(targets):
         feed.put(f"targets/t{number}", make_target(number))
@@ -172,7 +174,7 @@
             feed = filled_feed(clock, 20)
             links = CarryingLinks([], 0.03)
             starting = [Starting(f"s{n}", clock, feed, links, []) for n in range(3)]
-            addresses = [one.known.members.own.peer_address for one in starting]
+            addresses = [one.known.members.own_record.peer_address for one in starting]
             links.others = {
                 address: one.known for address, one in zip(addresses, starting, strict=True)
             }
@@ -227,8 +229,8 @@
 
         async def main(clock: LoopClock) -> int:
             links = CarryingLinks([], 0.01)
-            one = Starting("e1", clock, RowsFeed(clock), links, [])
-            one.known.members.hear([make_record("e2")])
+            one = Starting("e1", clock, MemoryFeed(clock), links, [])
+            one.known.members.merge_records([make_record("e2")])
             if knows_rows:
                 one.known.learn_state(1, "state/a", make_state(3))
                 one.known.learn_targets(2, make_target(1))
@@ -252,7 +254,7 @@
                 Starting(name, clock, feed, links, addresses[:3], True, seed=number)
                 for number, name in enumerate(names)
             ]
-            rng = seeded()
+            rng = seeded_rng()
             work = []
             for one, address in sorted(
                 zip(fleet, addresses, strict=True), key=lambda _: rng.random()
@@ -264,7 +266,7 @@
             while not all(one.ready() for one in fleet):  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
             took_s = clock.monotonic() - began
-            fewest = min(len(one.known.members.alive()) for one in fleet)
+            fewest = min(len(one.known.members.alive_records()) for one in fleet)
             blamed = sum(len(one.known.members.all_suspicions()) for one in fleet)
             for task in work:
                 task.cancel()
@@ -279,11 +281,11 @@
 
 class NeighboursTest(unittest.TestCase):
     def asked_by(self, name: str, others: t.Sequence[str], rounds: int) -> t.Set[str]:
-        members = Members(make_record(name), ManualClock(100.0), seeded())
-        members.hear([make_record(other) for other in others if other != name])
+        members = Members(make_record(name), ManualClock(100.0), seeded_rng())
+        members.merge_records([make_record(other) for other in others if other != name])
         found: t.Set[str] = set()
         for _ in range(rounds):
-            found |= {record.entry_id for record in members.choose(defaults.GOSSIP_FANOUT)}
+            found |= {record.entry_id for record in members.choose_peers(defaults.GOSSIP_FANOUT)}
         return found
 
     @parameterized.expand([("today", 12, 11), ("the letter's", 530, 12)])
--- a/tests/traffic/test_knowledge.py
+++ b/tests/traffic/test_knowledge.py
@@ -16,21 +16,21 @@
 from coralfall.process.clock import Clock, ManualClock
 from coralfall.stores.store import Changes, Feed, Row
 from coralfall.traffic.follower import Follower
-from coralfall.traffic.messages import News
+from coralfall.traffic.messages import GossipMessage
 from coralfall.traffic.pace import pace_of
 from coralfall.traffic.replica import Replica
-from tests.traffic.known import Known
+from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.makers import (
     NORTE,
     make_record,
     make_state,
     make_target,
-    seeded,
+    seeded_rng,
 )
 from tests.virtual_loop import LoopClock, run_virtual
 
 
-class RowsFeed(Feed):
+class MemoryFeed(Feed):
     """A store in memory with one counter and one clock, as the platform's.
 
     :param clock: tells the time, by which the store's own is 5000 s ahead.
@@ -129,7 +129,7 @@
         other.apply_delta(replica.delta(Revision(1)), 1.0)
         self.assertIsNone(other.get("k"))
         replica.apply_changes([Row("k", b"again", Revision(3))], Revision(3), 1.0)
-        self.assertEqual(("again", set()), (replica.get("k"), replica.unreadable))
+        self.assertEqual(("again", set()), (replica.get("k"), replica.unreadable_keys))
 
     def test_a_write_that_says_nothing_new_is_passed_over(self) -> None:
         replica = text_replica()
@@ -157,8 +157,8 @@
         source.apply_changes([Row("a", b"1", Revision(7))], Revision(7), 1.0)
         source.apply_changes([Row("a", b"2", Revision(9))], Revision(9), 1.0)
         other.apply_changes([Row("a", b"1", Revision(3))], Revision(3), 1.0)
-        self.assertFalse(other.can_take(source.delta(Revision(8))))
-        self.assertTrue(other.can_take(source.delta(Revision(3))))
+        self.assertFalse(other.can_apply(source.delta(Revision(8))))
+        self.assertTrue(other.can_apply(source.delta(Revision(3))))
 
     @hypothesis.given(
         writes=st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from([b"1", b"2", None]))),
@@ -177,7 +177,7 @@
         other = text_replica()
         order.shuffle(deltas)
         for delta in deltas + deltas:
-            if other.can_take(delta) and delta.revision > other.revision:
+            if other.can_apply(delta) and delta.revision > other.revision:
                 other.apply_delta(delta, 1.0)
         if other.revision < source.revision:
             other.apply_delta(source.delta(other.revision), 1.0)
@@ -186,15 +186,15 @@
 
 class BeliefTest(unittest.TestCase):
     def test_versions_only_rise(self) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_state(1, "state/a", make_state(7))
         known.learn_state(2, "state/a", make_state(5))
-        self.assertEqual(7, known.belief.version)
+        self.assertEqual(7, known.state_view.version)
         known.learn_state(3, "state/a", None)
-        self.assertEqual(7, known.belief.version)
+        self.assertEqual(7, known.state_view.version)
 
     def test_evacuations_come_and_go(self) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_targets(1, make_target(1))
         state = known.steered.targets.by_id[TargetId("t1")]
         known.learn_state(2, f"state/evacuate/{NORTE}", {})
@@ -204,18 +204,18 @@
 
     @parameterized.expand([("after an outage", 10.0, True), ("in the middle of a day", 0.5, False)])
     def test_targets_that_vanish(self, _name: str, silence_s: float, kept: bool) -> None:
-        known = Known()
+        known = EntryFixture()
         clock = t.cast(ManualClock, known.clock)
         known.learn_targets(1, make_target(1), make_target(2))
         clock.advance(silence_s)
         known.learn_targets(2, make_target(2))
         self.assertEqual(kept, TargetId("t1") in known.steered.targets.by_id)
         clock.advance(defaults.RETURN_GRACE_S)
-        known.belief.tick()
+        known.state_view.tick()
         self.assertNotIn(TargetId("t1"), known.steered.targets.by_id)
 
     def test_a_leaving_target_that_vanishes_in_an_outage_is_gone(self) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_targets(1, make_target(1, leaving=True), make_target(2))
         t.cast(ManualClock, known.clock).advance(10.0)
         known.learn_targets(2, make_target(2))
@@ -223,15 +223,15 @@
 
     @parameterized.expand([("before the outage", False), ("after it", True)])
     def test_a_target_whose_row_can_t_be_read_gets_nothing(self, _name: str, late: bool) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_targets(1, make_target(1), make_target(2))
         if late:
             t.cast(ManualClock, known.clock).advance(10.0)
             known.learn_targets(2, make_target(2))
             self.assertIn(TargetId("t1"), known.steered.targets.by_id)
-        rows = known.belief.target_rows
+        rows = known.state_view.target_rows
         row = Row("targets/t1", b"{", Revision(3))
-        known.belief.targets_changed(rows.apply_changes([row], Revision(3), 1.0))
+        known.state_view.apply_target_changes(rows.apply_changes([row], Revision(3), 1.0))
         self.assertEqual({TargetId("t2")}, set(known.steered.targets.by_id))
 
     @parameterized.expand([("newest first", (4, 3)), ("in order", (3, 4))])
@@ -239,7 +239,7 @@
         self, _name: str, order: t.Sequence[int]
     ) -> None:
         """An entry that was away hears of both lifetimes by deltas, in any order."""
-        known = Known()
+        known = EntryFixture()
         known.learn_targets(1, make_target(1, born=100), make_target(2))
         before = known.steered.targets.by_id[TargetId("t1")]
         before.report(4, 9)
@@ -248,8 +248,8 @@
         for revision in order:
             target = make_target(1, born=born_by_revision[revision], cold_s=3.0)
             row = Row("targets/t1", msgspec.json.encode(target), Revision(revision))
-            rows = known.belief.target_rows
-            known.belief.targets_changed(rows.apply_changes([row], Revision(4), 1.0))
+            rows = known.state_view.target_rows
+            known.state_view.apply_target_changes(rows.apply_changes([row], Revision(4), 1.0))
         state = known.steered.targets.by_id[TargetId("t1")]
         self.assertEqual(200, state.target.born)
         self.assertEqual((0.0, True, True), (state.load(), state.usable(), state.is_cold()))
@@ -258,26 +258,26 @@
 
 class ExchangeTest(unittest.TestCase):
     def test_the_one_behind_learns_and_ages_are_kept(self) -> None:
-        ahead, behind = Known("e1"), Known("e2")
+        ahead, behind = EntryFixture("e1"), EntryFixture("e2")
         ahead.learn_state(3, "state/a", make_state(4))
         ahead.learn_targets(5, make_target(1))
         t.cast(ManualClock, ahead.clock).advance(2.0)
         answer = ahead.exchange.answer(behind.exchange.news())
         self.assertFalse(behind.exchange.take(answer, behind.clock.monotonic()))
-        self.assertEqual(4, behind.belief.version)
+        self.assertEqual(4, behind.state_view.version)
         self.assertIn(TargetId("t1"), behind.steered.targets.by_id)
         # A bound: never too young, and too old by no more than clocks may drift.
-        self.assertGreaterEqual(behind.belief.state_age(), 2.0)
-        self.assertLess(behind.belief.state_age(), 2.001)
-        self.assertEqual({"e1", "e2"}, behind.members.all_ids())
+        self.assertGreaterEqual(behind.state_view.state_age_s(), 2.0)
+        self.assertLess(behind.state_view.state_age_s(), 2.001)
+        self.assertEqual({"e1", "e2"}, behind.members.known_ids())
 
     def test_the_one_ahead_is_asked_by_the_one_that_hears_of_it(self) -> None:
-        ahead, behind = Known("e1"), Known("e2")
+        ahead, behind = EntryFixture("e1"), EntryFixture("e2")
         ahead.learn_state(3, "state/a", make_state(4))
         self.assertTrue(behind.exchange.take(ahead.exchange.news()))
 
     def test_nothing_new_is_not_sent(self) -> None:
-        one, other = Known("e1"), Known("e2")
+        one, other = EntryFixture("e1"), EntryFixture("e2")
         one.learn_state(3, "state/a", make_state(4))
         other.exchange.take(one.exchange.answer(other.exchange.news()))
         answer = one.exchange.answer(other.exchange.news())
@@ -285,31 +285,33 @@
 
     @parameterized.expand([("by a question", True), ("by an answer", False)])
     def test_an_entry_that_was_held_dead_learns_it_and_lives(self, _name: str, asks: bool) -> None:
-        one, dead = Known("e1"), Known("e2")
-        one.members.hear([make_record("e2")])
+        one, dead = EntryFixture("e1"), EntryFixture("e2")
+        one.members.merge_records([make_record("e2")])
         for _ in range(defaults.SUSPECT_MISSES):
-            one.members.missed(make_record("e2").peer_address)
+            one.members.record_probe_failure(make_record("e2").peer_address)
         t.cast(ManualClock, one.clock).advance(60.0)
-        self.assertEqual([], one.members.alive())
+        self.assertEqual([], one.members.alive_records())
         asker, other = (one, dead) if asks else (dead, one)
-        news = asker.exchange.news(address=other.members.own.peer_address)
+        news = asker.exchange.news(address=other.members.own_record.peer_address)
         other.exchange.take(news)
         asker.exchange.take(other.exchange.answer(news))
         if not asks:
             one.exchange.take(dead.exchange.news())
-        self.assertEqual(["e2"], [record.entry_id for record in one.members.alive()])
+        self.assertEqual(["e2"], [record.entry_id for record in one.members.alive_records()])
 
     def test_news_are_carried_by_msgpack(self) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_state(3, "state/a", make_state(4))
         news = known.exchange.news(Revision(0), Revision(0))
-        self.assertEqual(news, msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=News))
+        self.assertEqual(
+            news, msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=GossipMessage)
+        )
 
 
 class RefusingFeed(Feed):
     """The store as one entry finds it, which it may turn away."""
 
-    def __init__(self, feed: RowsFeed, refused: t.Set[int], number: int) -> None:
+    def __init__(self, feed: MemoryFeed, refused: t.Set[int], number: int) -> None:
         self._feed = feed
         self._refused = refused
         self._number = number
@@ -335,7 +337,7 @@
     """
 
     def __init__(self, clock: Clock, count: int, way_s: float = 0.0, bound_s: float = 2.0) -> None:
-        self.feed = RowsFeed(clock)
+        self.feed = MemoryFeed(clock)
         #: Numbers of entries that the store turns away.
         self.refused: t.Set[int] = set()
         #: How often one has handed on what it read.
@@ -343,27 +345,27 @@
         #: Revisions after which rows were handed on.
         self.handed_on_since: t.List[Revision] = []
         self._way_s = way_s
-        self.known = [Known(f"e{number}", clock) for number in range(count)]
+        self.known = [EntryFixture(f"e{number}", clock) for number in range(count)]
         self.cut: t.Set[int] = set()
         self.followers = [
             Follower(
                 "state/",
-                known.belief.state_rows,
+                known.state_view.state_rows,
                 RefusingFeed(self.feed, self.refused, number),
                 known.members,
                 clock,
-                known.belief.store_clock,
-                seeded(),
+                known.state_view.store_clock,
+                seeded_rng(),
                 pace=pace_of(bound_s),
                 held=True,
                 before=lambda age: None,
-                changed=known.belief.state_changed,
+                changed=known.state_view.apply_state_changes,
                 hand_on=functools.partial(self._hand_on, number),
             )
             for number, known in enumerate(self.known)
         ]
         for known in self.known:
-            known.members.hear([other.members.own for other in self.known])
+            known.members.merge_records([other.members.own_record for other in self.known])
 
     def _hand_on(self, number: int, since: Revision) -> None:
         self.handed_on += 1
@@ -374,14 +376,14 @@
             return
         asyncio.get_running_loop().call_later(self._way_s, self._arrive, number, news)
 
-    def _arrive(self, number: int, news: News) -> None:
+    def _arrive(self, number: int, news: GossipMessage) -> None:
         for other, told in enumerate(self.known):
             if other != number and not {other, number} & self.cut:
                 told.exchange.take(news)
 
     async def talk(self, way_s: float, pause_s: float = 0.05) -> None:
         """Let all exchange news all the while, with messages that take ``way_s`` each way."""
-        rng = seeded()
+        rng = seeded_rng()
         while True:
             pairs = [rng.sample(range(len(self.known)), 2) for _ in self.known]
             questions = [self.known[asker].exchange.news() for asker, _ in pairs]
@@ -412,7 +414,7 @@
             return fleet
 
         fleet = run_virtual(main)
-        self.assertEqual([1] * 12, [known.belief.version for known in fleet.known])
+        self.assertEqual([1] * 12, [known.state_view.version for known in fleet.known])
         # Everybody reads at the start; then it is twice a second, and not twelve times that.
         self.assertLess(fleet.feed.reads, 12 + 2 * 20 + 10)
 
@@ -450,7 +452,7 @@
                 fleet.cut = {ranks.index(rank)}
             fleet.feed.put("state/a", make_state(2))
             await asyncio.sleep(0.7 * min(bound_s, 2.0))
-            versions = [known.belief.version for known in fleet.known]
+            versions = [known.state_view.version for known in fleet.known]
             work.cancel()
             return versions
 
@@ -474,7 +476,7 @@
             oldest = []
             for _ in range(100):
                 await asyncio.sleep(0.1)
-                oldest.append(max(known.belief.state_age() for known in fleet.known))
+                oldest.append(max(known.state_view.state_age_s() for known in fleet.known))
             for task in work:
                 task.cancel()
             return oldest
@@ -495,7 +497,7 @@
 
         fleet = run_virtual(main)
         self.assertLess(fleet.handed_on / 10.0, most)
-        self.assertLess(max(known.belief.state_age() for known in fleet.known), 1.5)
+        self.assertLess(max(known.state_view.state_age_s() for known in fleet.known), 1.5)
 
     @parameterized.expand([(0.0,), (0.15,), (0.4,)])
     def test_knowledge_is_never_called_younger_than_the_last_read(self, way_s: float) -> None:
@@ -511,7 +513,7 @@
             for _ in range(50):
                 await asyncio.sleep(0.1)
                 since_read = clock.monotonic() - fleet.feed.read_at
-                ages = [known.belief.state_age() for known in fleet.known]
+                ages = [known.state_view.state_age_s() for known in fleet.known]
                 too_young.append(since_read - min(ages))
             for task in work:
                 task.cancel()
@@ -528,7 +530,7 @@
             await fleet.followers[0].read()
             fleet.feed.slow_s = defaults.READ_INTERVAL_S + 0.8
             await fleet.followers[0].read()
-            return fleet.known[0].belief.state_age()
+            return fleet.known[0].state_view.state_age_s()
 
         # What it was asked to wait for is no delay.
         self.assertGreater(run_virtual(main), 0.79)
@@ -547,8 +549,8 @@
             return fleet
 
         known = run_virtual(main).known[0]
-        self.assertEqual(2, known.belief.version)
-        self.assertIsNone(known.belief.state_rows.get(f"state/evacuate/{NORTE}"))
+        self.assertEqual(2, known.state_view.version)
+        self.assertIsNone(known.state_view.state_rows.get(f"state/evacuate/{NORTE}"))
 
     @parameterized.expand([("a dozen", 12, 160), ("large", 195, 700)])
     def test_an_outage_costs_a_fleet_few_calls_and_ends_everywhere(
@@ -569,7 +571,7 @@
             fleet.feed.put("state/a", make_state(2))
             await asyncio.sleep(1.3)
             work.cancel()
-            return calls, {known.belief.version for known in fleet.known}
+            return calls, {known.state_view.version for known in fleet.known}
 
         calls, versions = run_virtual(main)
         self.assertEqual({2}, versions)
@@ -587,7 +589,7 @@
             fleet.feed.down = False
             fleet.feed.put("state/a", make_state(2))
             await fleet.run(1.5)
-            return calls, fleet.known[0].belief.version
+            return calls, fleet.known[0].state_view.version
 
         calls, version = run_virtual(main)
         self.assertLess(calls, 30)
--- a/tests/traffic/test_leases.py
+++ b/tests/traffic/test_leases.py
@@ -127,7 +127,7 @@
         async def main(clock: LoopClock) -> bool:
             members = FakeMembers(make_record(OWN, link_mbps=0.0))
             owner = make_record(FIRST, link_mbps=9.0)
-            members.hear([members.own, owner], 2)
+            members.merge_records([members.own_record, owner], 2)
             lines = Lines(clock)
             permits = Permits(t.cast(t.Any, members), t.cast(t.Any, lines), Ledger(clock), clock)
             permits.sources.append(OneLimit())
--- a/tests/traffic/test_lines.py
+++ b/tests/traffic/test_lines.py
@@ -14,7 +14,7 @@
 from coralfall.traffic.answer_report import AnswerReader
 from coralfall.traffic.connection import ServerAnswer
 from coralfall.traffic.members import Members
-from tests.traffic.makers import Steered, make_record, make_target, seeded
+from tests.traffic.makers import SteeringFixture, make_record, make_target, seeded_rng
 
 
 class LinesTest(unittest.TestCase):
@@ -30,7 +30,7 @@
 
     @parameterized.expand([("few", 8, 8), ("many", 300, 2)])
     def test_targets_that_are_new(self, _name: str, count: int, lines: int) -> None:
-        Steered(*[make_target(number) for number in range(count)])
+        SteeringFixture(*[make_target(number) for number in range(count)])
         found = self.lines("target.added")
         self.assertEqual(lines, len(found))
         for number in range(count):
@@ -38,25 +38,25 @@
 
     @parameterized.expand([("few", 8, 8), ("many", 300, 2)])
     def test_entries_that_come_to_life(self, _name: str, count: int, lines: int) -> None:
-        members = Members(make_record("own"), ManualClock(100.0), seeded())
-        members.hear([make_record(f"e{number}") for number in range(count)])
+        members = Members(make_record("own"), ManualClock(100.0), seeded_rng())
+        members.merge_records([make_record(f"e{number}") for number in range(count)])
         self.assertEqual(lines, len(self.lines("peer.alive")))
 
     def test_entries_that_fall_silent_have_a_line_each(self) -> None:
         """Their ages point to the moment at which a machine or a link was lost."""
         clock = ManualClock(100.0)
-        members = Members(make_record("own"), clock, seeded())
-        members.hear([make_record(f"e{number}") for number in range(30)])
+        members = Members(make_record("own"), clock, seeded_rng())
+        members.merge_records([make_record(f"e{number}") for number in range(30)])
         for number in range(30):
             for _ in range(2):
-                members.missed(make_record(f"e{number}").peer_address)
+                members.record_probe_failure(make_record(f"e{number}").peer_address)
         for _ in range(20):
             clock.advance(0.4)
-            members.look()
+            members.start_round()
         self.assertEqual(30, len(self.lines("peer.silent")))
 
     def test_a_storm_of_rejections_is_a_few_lines(self) -> None:
-        steered = Steered(make_target())
+        steered = SteeringFixture(make_target())
         state = next(iter(steered.targets.by_id.values()))
         for _ in range(300):
             steered.targets.reports.note(state, TargetReport(cooldown_s=3.0, leaving=True), 0.0)
--- a/tests/traffic/test_members.py
+++ b/tests/traffic/test_members.py
@@ -14,10 +14,10 @@
 from coralfall.traffic.gossip import in_relay_order
 from coralfall.traffic.lookup import Lookup
 from coralfall.traffic.members import Members
-from coralfall.traffic.messages import News, Suspicion
+from coralfall.traffic.messages import GossipMessage, Suspicion
 from coralfall.traffic.model import DesiredState, EntryRecord
-from coralfall.traffic.translator import LookupQuestion
-from tests.traffic.known import Known
+from coralfall.traffic.row_codec import LookupQuery
+from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.makers import (
     COSTA,
     NORTE,
@@ -27,14 +27,14 @@
     make_route,
     make_settings,
     make_state,
-    seeded,
+    seeded_rng,
 )
 
 
 def miss(members: Members, name: str = "e2", times: int = defaults.SUSPECT_MISSES) -> None:
     """Ask an entry in vain, as often as it takes to suspect it."""
     for _ in range(times):
-        members.missed(make_record(name).peer_address)
+        members.record_probe_failure(make_record(name).peer_address)
 
 
 def suspicion(name: str, beat: int) -> Suspicion:
@@ -44,75 +44,75 @@
 class MembersTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
-        self.members = Members(make_record("e1"), self.clock, seeded())
+        self.members = Members(make_record("e1"), self.clock, seeded_rng())
 
     def alive(self) -> t.List[str]:
-        return [record.entry_id for record in self.members.alive()]
+        return [record.entry_id for record in self.members.alive_records()]
 
     @parameterized.expand(
         [
             ("no answer", lambda members: miss(members)),
-            ("told by another", lambda members: members.doubt([suspicion("e2", 1)])),
+            ("told by another", lambda members: members.merge_suspicions([suspicion("e2", 1)])),
         ]
     )
     def test_a_suspicion_is_death_in_time_and_a_new_beat_is_life(
         self, _name: str, suspect: t.Callable[[Members], None]
     ) -> None:
-        self.members.hear([make_record("e2")])
+        self.members.merge_records([make_record("e2")])
         self.clock.advance(60.0)
-        self.members.look()
+        self.members.start_round()
         self.clock.advance(defaults.GOSSIP_S)
-        self.members.look()
+        self.members.start_round()
         self.assertEqual(["e2"], self.alive())
         suspect(self.members)
         self.clock.advance(defaults.ENTRY_SUSPECT_S - 0.1)
         # What others said before they knew is no refutation, and no new suspicion either.
-        self.members.hear([make_record("e2")])
+        self.members.merge_records([make_record("e2")])
         suspect(self.members)
         self.assertEqual(["e2"], self.alive())
         self.clock.advance(0.2)
         self.assertEqual([], self.alive())
-        self.members.hear([make_record("e2", beat=2)])
+        self.members.merge_records([make_record("e2", beat=2)])
         self.assertEqual(["e2"], self.alive())
 
     def test_one_question_without_an_answer_is_asked_again(self) -> None:
-        self.members.hear([make_record(f"e{number}") for number in range(2, 30)])
+        self.members.merge_records([make_record(f"e{number}") for number in range(2, 30)])
         miss(self.members, times=1)
-        self.assertIn("e2", [record.entry_id for record in self.members.choose(0)])
-        self.members.reached(make_record("e2").peer_address)
+        self.assertIn("e2", [record.entry_id for record in self.members.choose_peers(0)])
+        self.members.record_probe_success(make_record("e2").peer_address)
         miss(self.members, times=1)
         self.assertEqual((), self.members.recent_suspicions())
         miss(self.members, times=1)
         self.assertEqual(1, len(self.members.recent_suspicions()))
 
     def test_an_entry_that_is_late_itself_blames_nobody(self) -> None:
-        self.members.hear([make_record("e2")])
+        self.members.merge_records([make_record("e2")])
         self.clock.advance(defaults.GOSSIP_S * defaults.BUSY_ROUNDS + 0.1)
         miss(self.members)
         self.assertEqual((), self.members.recent_suspicions())
 
     def test_a_suspicion_of_what_an_entry_said_before_is_passed_over(self) -> None:
-        self.members.hear([make_record("e2", beat=5)])
-        self.members.doubt([suspicion("e2", 4)])
+        self.members.merge_records([make_record("e2", beat=5)])
+        self.members.merge_suspicions([suspicion("e2", 4)])
         self.clock.advance(defaults.ENTRY_SUSPECT_S)
         self.assertEqual(["e2"], self.alive())
 
     @parameterized.expand([("of this beat", 1, 2), ("of one to come", 7, 8), ("of the past", 0, 1)])
     def test_a_suspect_refutes(self, _name: str, suspected: int, beat: int) -> None:
         told = []
-        self.members.on_news = lambda at_once: told.append(self.members.own)
-        self.members.doubt([suspicion("e1", suspected)])
-        self.assertEqual(beat, self.members.own.beat)
+        self.members.on_update = lambda at_once: told.append(self.members.own_record)
+        self.members.merge_suspicions([suspicion("e1", suspected)])
+        self.assertEqual(beat, self.members.own_record.beat)
         self.assertEqual(beat > 1, bool(told))
 
     def test_news_are_told_for_a_while_and_all_on_demand(self) -> None:
-        self.members.hear([make_record("e2"), make_record("e3")])
+        self.members.merge_records([make_record("e2"), make_record("e3")])
         miss(self.members, "e3")
-        self.assertEqual(3, len(self.members.recent()))
+        self.assertEqual(3, len(self.members.recent_records()))
         self.assertEqual((suspicion("e3", 1),), self.members.recent_suspicions())
         self.assertEqual(1, self.members.suspected_count())
         self.clock.advance(defaults.GOSSIP_NEWS_S)
-        self.assertEqual(["e1"], [record.entry_id for record in self.members.recent()])
+        self.assertEqual(["e1"], [record.entry_id for record in self.members.recent_records()])
         self.assertEqual((), self.members.recent_suspicions())
         self.assertEqual(0, self.members.suspected_count())
         told = [record.entry_id for record in self.members.all_records()]
@@ -121,14 +121,14 @@
         self.assertEqual(("e3", defaults.GOSSIP_NEWS_S), (told_of.entry_id, told_of.age_s))
 
     def test_the_sum_tells_whether_two_know_the_same(self) -> None:
-        other = Members(make_record("e2"), self.clock, seeded())
-        other.hear([make_record("e3"), make_record("e1")])
-        self.members.hear([make_record("e2")])
-        self.assertNotEqual(other.sum(), self.members.sum())
-        self.members.hear([make_record("e3")])
-        self.assertEqual(other.sum(), self.members.sum())
-        self.members.hear([make_record("e3", beat=2)])
-        self.assertNotEqual(other.sum(), self.members.sum())
+        other = Members(make_record("e2"), self.clock, seeded_rng())
+        other.merge_records([make_record("e3"), make_record("e1")])
+        self.members.merge_records([make_record("e2")])
+        self.assertNotEqual(other.checksum(), self.members.checksum())
+        self.members.merge_records([make_record("e3")])
+        self.assertEqual(other.checksum(), self.members.checksum())
+        self.members.merge_records([make_record("e3", beat=2)])
+        self.assertNotEqual(other.checksum(), self.members.checksum())
 
     @parameterized.expand(
         [
@@ -137,24 +137,24 @@
         ]
     )
     def test_not_serving(self, _name: str, changes: t.Dict[str, t.Any]) -> None:
-        self.members.hear([make_record("e2", **changes)])
-        self.assertEqual(["e1"], [record.entry_id for record in self.members.serving()])
+        self.members.merge_records([make_record("e2", **changes)])
+        self.assertEqual(["e1"], [record.entry_id for record in self.members.serving_records()])
 
     def test_an_older_record_does_not_undo_a_newer(self) -> None:
-        self.members.hear([make_record("e2", beat=5, state=EntryState.LEAVING)])
-        self.members.hear([make_record("e2", beat=4)])
-        self.assertEqual(["e1"], [record.entry_id for record in self.members.serving()])
+        self.members.merge_records([make_record("e2", beat=5, state=EntryState.LEAVING)])
+        self.members.merge_records([make_record("e2", beat=4)])
+        self.assertEqual(["e1"], [record.entry_id for record in self.members.serving_records()])
 
     def test_a_restarted_entry_whose_clock_fell_back_outlives_its_past(self) -> None:
-        self.members.hear([make_record("e1", incarnation=Incarnation(9), beat=70)])
-        self.assertEqual(10, self.members.own.incarnation)
+        self.members.merge_records([make_record("e1", incarnation=Incarnation(9), beat=70)])
+        self.assertEqual(10, self.members.own_record.incarnation)
 
     def test_a_pause_of_this_process_is_nobody_s_death(self) -> None:
-        self.members.look()
-        self.members.hear([make_record("e2")])
+        self.members.start_round()
+        self.members.merge_records([make_record("e2")])
         miss(self.members)
         self.clock.advance(20.0)
-        self.members.look()
+        self.members.start_round()
         self.assertEqual(["e2"], self.alive())
         self.clock.advance(defaults.ENTRY_SUSPECT_S)
         self.assertEqual([], self.alive())
@@ -163,8 +163,8 @@
         names = [f"e{number}" for number in range(8)]
         ranks = []
         for name in names:
-            members = Members(make_record(name), self.clock, seeded())
-            members.hear([make_record(other) for other in names])
+            members = Members(make_record(name), self.clock, seeded_rng())
+            members.merge_records([make_record(other) for other in names])
             ranks.append(members.rank())
         self.assertEqual(list(range(8)), sorted(ranks))
 
@@ -173,8 +173,8 @@
         records = [make_record(name, link_mbps=link) for name, link in links.items()]
         rank_by_name = {}
         for record in records:
-            members = Members(record, self.clock, seeded())
-            members.hear(records)
+            members = Members(record, self.clock, seeded_rng())
+            members.merge_records(records)
             rank_by_name[record.entry_id] = members.rank()
         self.assertEqual({0, 1}, {rank_by_name["e2"], rank_by_name["e5"]})
         self.assertEqual({2, 3}, {rank_by_name["e1"], rank_by_name["e3"]})
@@ -182,10 +182,10 @@
         self.assertEqual([200.0, 200.0, 10.0, 10.0, 0.0], relays)
 
     def test_entries_of_the_store_are_not_alive_until_heard(self) -> None:
-        self.members.register(make_record("e2"))
-        self.assertEqual([], self.members.alive())
-        self.assertEqual({"e1", "e2"}, self.members.all_ids())
-        self.assertIn("e2", [record.entry_id for record in self.members.choose(3)])
+        self.members.add_registered(make_record("e2"))
+        self.assertEqual([], self.members.alive_records())
+        self.assertEqual({"e1", "e2"}, self.members.known_ids())
+        self.assertIn("e2", [record.entry_id for record in self.members.choose_peers(3)])
 
 
 _NAMES = [f"e{number}" for number in range(2, 9)]
@@ -206,41 +206,45 @@
     @hypothesis.given(steps=_steps)
     def test_it_is_always_up_to_date(self, steps: t.List[t.Tuple[str, str, int]]) -> None:
         clock = ManualClock(100.0)
-        members = Members(make_record("e1"), clock, seeded())
+        members = Members(make_record("e1"), clock, seeded_rng())
         for step, name, number in steps:
             self.take(members, clock, step, name, number)
-            kept = members._now()
-            fresh = members._look_around(clock.monotonic())
+            kept = members._live_view()
+            fresh = members._compute_live_view(clock.monotonic())
             self.assertEqual(
                 (fresh.records, fresh.serving, fresh.sum, fresh.rank),
                 (kept.records, kept.serving, kept.sum, kept.rank),
             )
-            known = {*members._known}
-            self.assertEqual({EntryId("e1"), *known}, members.all_ids())
+            known = {*members._members_by_id}
+            self.assertEqual({EntryId("e1"), *known}, members.known_ids())
             listed = {
                 (known.record.entry_id, address)
-                for address in members._by_address
-                for known in members._at(address)
+                for address in members._ids_by_address
+                for known in members._members_at(address)
+            }
+            places = {
+                (k.record.entry_id, k.record.peer_address) for k in members._members_by_id.values()
             }
-            places = {(k.record.entry_id, k.record.peer_address) for k in members._known.values()}
             self.assertEqual(places, listed)
 
     def take(self, members: Members, clock: ManualClock, step: str, name: str, number: int) -> None:
         record = make_record(name, beat=number, peer_address=f"10.0.0.{number}:1", ready=number > 1)
         if step == "hear":
-            members.hear([record])
+            members.merge_records([record])
         elif step == "register":
-            members.register(record)
+            members.add_registered(record)
         elif step == "doubt":
-            members.doubt([Suspicion(EntryId(name), Incarnation(1), number, float(number))])
+            members.merge_suspicions(
+                [Suspicion(EntryId(name), Incarnation(1), number, float(number))]
+            )
         elif step == "missed":
-            members.missed(record.peer_address)
+            members.record_probe_failure(record.peer_address)
         elif step == "reached":
-            members.reached(record.peer_address)
+            members.record_probe_success(record.peer_address)
         elif step == "look":
-            members.look()
+            members.start_round()
         elif step == "own":
-            members.set_own(ready=number > 1)
+            members.update_own(ready=number > 1)
         else:
             clock.advance((0.1, 1.6, 3.0, 150.0)[number])
 
@@ -249,8 +253,8 @@
     """Entries that only the store's rows tell of: nobody is told that they are suspected."""
 
     def setUp(self) -> None:
-        self.members = Members(make_record("e1"), ManualClock(100.0), seeded())
-        self.members.register(make_record("e2", beat=0))
+        self.members = Members(make_record("e1"), ManualClock(100.0), seeded_rng())
+        self.members.add_registered(make_record("e2", beat=0))
 
     def told(self) -> t.Set[str]:
         address = make_record("e2").peer_address
@@ -262,29 +266,29 @@
         return {suspicion.entry_id for suspicion in suspicions}
 
     def test_they_are_not_told_as_suspected(self) -> None:
-        self.assertEqual(([], set()), (self.members.alive(), self.told()))
+        self.assertEqual(([], set()), (self.members.alive_records(), self.told()))
 
     def test_they_are_not_told_as_living(self) -> None:
         """A row outlives its machine; two that read it would make it live for each other."""
-        told = [record.entry_id for record in self.members.recent()]
+        told = [record.entry_id for record in self.members.recent_records()]
         self.assertEqual(["e1"], told)
 
     @parameterized.expand([("the same word", 0), ("a newer one", 1)])
     def test_they_live_once_anybody_tells_of_them(self, _name: str, beat: int) -> None:
-        self.members.hear([make_record("e2", beat=beat)])
-        self.assertEqual(["e2"], [record.entry_id for record in self.members.alive()])
+        self.members.merge_records([make_record("e2", beat=beat)])
+        self.assertEqual(["e2"], [record.entry_id for record in self.members.alive_records()])
         miss(self.members)
         self.assertEqual({"e2"}, self.told())
 
 
 class LookupTest(unittest.TestCase):
     def lookup(self, *records: EntryRecord, state: t.Optional[DesiredState] = None) -> Lookup:
-        known = Known()
-        known.members.set_own(ready=False)
-        known.members.hear(records)
+        known = EntryFixture()
+        known.members.update_own(ready=False)
+        known.members.merge_records(records)
         if state is not None:
             known.learn_state(1, "state/a", state)
-        return Lookup(make_settings(), known.members, known.belief)
+        return Lookup(make_settings(), known.members, known.state_view)
 
     @parameterized.expand(
         [
@@ -300,7 +304,7 @@
         records = [
             make_record(f"e{n}x", zone=zone, region=regions[zone]) for n, zone in enumerate(zones)
         ]
-        found = self.lookup(*records).addresses(LookupQuestion("a.example", SIERRA, NORTE))
+        found = self.lookup(*records).addresses(LookupQuery("a.example", SIERRA, NORTE))
         self.assertEqual(sorted([records[n].caller_address for n in expected]), sorted(found))
 
     @parameterized.expand(
@@ -313,22 +317,24 @@
     def test_an_answer_follows_who_serves(
         self, _name: str, heard: t.Dict[str, t.Dict[str, t.Any]], count: int
     ) -> None:
-        known = Known()
-        known.members.set_own(ready=False)
-        known.members.hear([make_record("e1x")])
-        lookup = Lookup(make_settings(), known.members, known.belief)
-        question = LookupQuestion("a.example", SIERRA, NORTE)
+        known = EntryFixture()
+        known.members.update_own(ready=False)
+        known.members.merge_records([make_record("e1x")])
+        lookup = Lookup(make_settings(), known.members, known.state_view)
+        question = LookupQuery("a.example", SIERRA, NORTE)
         self.assertEqual(1, len(lookup.addresses(question)))
-        known.members.hear([make_record(name, **changes) for name, changes in heard.items()])
+        known.members.merge_records(
+            [make_record(name, **changes) for name, changes in heard.items()]
+        )
         self.assertEqual(count, len(lookup.addresses(question)))
 
     def test_the_dead_are_named_no_more_once_time_has_passed(self) -> None:
         """Nobody says a word when a suspect becomes one that is held dead."""
-        known = Known()
-        known.members.set_own(ready=False)
-        known.members.hear([make_record("e2")])
-        lookup = Lookup(make_settings(), known.members, known.belief)
-        question = LookupQuestion("a.example", SIERRA, NORTE)
+        known = EntryFixture()
+        known.members.update_own(ready=False)
+        known.members.merge_records([make_record("e2")])
+        lookup = Lookup(make_settings(), known.members, known.state_view)
+        question = LookupQuery("a.example", SIERRA, NORTE)
         miss(known.members)
         self.assertEqual(1, len(lookup.addresses(question)))
         t.cast(ManualClock, known.clock).advance(defaults.ENTRY_SUSPECT_S + 0.1)
@@ -340,7 +346,7 @@
         lookup = self.lookup(*records)
         outside = set()
         for zone in zones:
-            found = lookup.addresses(LookupQuestion("a.example", SIERRA, zone))
+            found = lookup.addresses(LookupQuery("a.example", SIERRA, zone))
             own = {record.caller_address for record in records if record.zone == zone}
             self.assertEqual((6, own), (len(found), own & set(found)))
             outside |= set(found) - own
@@ -363,7 +369,7 @@
         """Or else those that are named carry the load of those that are not."""
         records = [make_record(f"e{n}in", zone=NORTE) for n in range(inside)]
         records += [make_record(f"e{n}out", zone=ZoneId("valle")) for n in range(others)]
-        found = self.lookup(*records).addresses(LookupQuestion("a.example", SIERRA, NORTE))
+        found = self.lookup(*records).addresses(LookupQuery("a.example", SIERRA, NORTE))
         self.assertEqual(inside + outside, len(set(found)))
         if outside >= 0:
             named = {record.caller_address for record in records[:inside]}
@@ -373,7 +379,7 @@
         records = [make_record(f"e{n}x", zone=PUERTO, region=COSTA) for n in range(80)]
         lookup = self.lookup(*records)
         zones = [ZoneId(f"z{number}") for number in range(20)]
-        told = [set(lookup.addresses(LookupQuestion("a.example", SIERRA, z))) for z in zones]
+        told = [set(lookup.addresses(LookupQuery("a.example", SIERRA, z))) for z in zones]
         self.assertEqual({defaults.MAX_LOOKUP_ADDRESSES}, {len(found) for found in told})
         self.assertEqual(80, len(set.union(*told)))
 
@@ -382,7 +388,7 @@
         home = make_record("home", zone=PUERTO, region=COSTA)
         state = make_state(1, make_route(allowed_regions=frozenset({COSTA})))
         lookup = self.lookup(far, home, state=state)
-        found = lookup.addresses(LookupQuestion("a.example", SIERRA, NORTE))
+        found = lookup.addresses(LookupQuery("a.example", SIERRA, NORTE))
         self.assertEqual([home.caller_address], found)
 
 
@@ -394,31 +400,31 @@
 
     def __init__(self, count: int) -> None:
         self.clock = ManualClock(100.0)
-        self.known = {f"e{n}": Known(f"e{n}", self.clock, seed=n) for n in range(count)}
+        self.known = {f"e{n}": EntryFixture(f"e{n}", self.clock, seed=n) for n in range(count)}
         self.gone: t.Set[str] = set()
         self.cuts: t.Set[t.FrozenSet[str]] = set()
         self.sent: t.List[int] = []
         self.may_push_at: t.Dict[str, float] = {}
         #: Share of questions and pushes that are lost.
         self.lost = 0.0
-        self._rng = seeded()
+        self._rng = seeded_rng()
         for known in self.known.values():
-            known.members.hear([make_record(name) for name in self.known if name != "e0"])
-            known.members.on_news = self._pusher(known)
+            known.members.merge_records([make_record(name) for name in self.known if name != "e0"])
+            known.members.on_update = self._pusher(known)
         #: One that nobody but its neighbour has heard of.
-        self.known["e1"].members.hear([make_record("e0")])
+        self.known["e1"].members.merge_records([make_record("e0")])
 
-    def _pusher(self, known: Known) -> t.Callable[[], None]:
+    def _pusher(self, known: EntryFixture) -> t.Callable[[], None]:
         def push(at_once: bool) -> None:
             now = self.clock.monotonic()
-            if at_once or now >= self.may_push_at.get(known.members.own.entry_id, 0.0):
+            if at_once or now >= self.may_push_at.get(known.members.own_record.entry_id, 0.0):
                 self.pushes.append(known)
-                pause = (len(known.members.alive()) + 1) / defaults.MEMBER_PUSHES_PER_S
-                self.may_push_at[known.members.own.entry_id] = now + pause
+                pause = (len(known.members.alive_records()) + 1) / defaults.MEMBER_PUSHES_PER_S
+                self.may_push_at[known.members.own_record.entry_id] = now + pause
 
         return push
 
-    pushes: t.List[Known] = []
+    pushes: t.List[EntryFixture] = []
 
     def can_reach(self, one: str, other: str) -> bool:
         if other in self.gone or frozenset((one, other)) in self.cuts:
@@ -430,15 +436,15 @@
         for name, known in self.known.items():
             if name in self.gone:
                 continue
-            known.members.look()
-            for record in known.members.choose(defaults.GOSSIP_FANOUT):
+            known.members.start_round()
+            for record in known.members.choose_peers(defaults.GOSSIP_FANOUT):
                 self._ask(known, record)
         while self.pushes:
             known = self.pushes.pop()
-            others = [record.entry_id for record in known.members.alive()]
-            self._relay(known.members.own.entry_id, known.exchange.news(), others)
+            others = [record.entry_id for record in known.members.alive_records()]
+            self._relay(known.members.own_record.entry_id, known.exchange.news(), others)
 
-    def _relay(self, sender: str, news: News, names: t.Sequence[str]) -> None:
+    def _relay(self, sender: str, news: GossipMessage, names: t.Sequence[str]) -> None:
         parts = min(defaults.RELAY_FANOUT, len(names))
         for number in range(parts):
             part = names[number::parts]
@@ -448,24 +454,27 @@
                 self._tell(self.known[part[0]], news)
                 self._relay(part[0], news, part[1:])
 
-    def _ask(self, known: Known, record: EntryRecord) -> None:
-        if not self.can_reach(known.members.own.entry_id, record.entry_id):
-            known.members.missed(record.peer_address)
+    def _ask(self, known: EntryFixture, record: EntryRecord) -> None:
+        if not self.can_reach(known.members.own_record.entry_id, record.entry_id):
+            known.members.record_probe_failure(record.peer_address)
             return
         other = self.known[record.entry_id]
-        known.members.reached(record.peer_address)
+        known.members.record_probe_success(record.peer_address)
         news = known.exchange.news(address=record.peer_address)
         self._tell(other, news)
         self._tell(known, other.exchange.answer(news))
 
-    def _tell(self, known: Known, news: News) -> None:
+    def _tell(self, known: EntryFixture, news: GossipMessage) -> None:
         self.sent.append(len(msgspec.msgpack.encode(news)))
         known.exchange.take(news)
 
     def believed_alive(self) -> t.Set[t.FrozenSet[str]]:
         """What those that run hold alive, themselves included; one set if they agree."""
         return {
-            frozenset({known.members.own.entry_id} | {r.entry_id for r in known.members.alive()})
+            frozenset(
+                {known.members.own_record.entry_id}
+                | {r.entry_id for r in known.members.alive_records()}
+            )
             for name, known in self.known.items()
             if name not in self.gone
         }
--- a/tests/traffic/test_quarantine.py
+++ b/tests/traffic/test_quarantine.py
@@ -12,9 +12,9 @@
 from coralfall.placement.fingerprint import CallerDigest, Fingerprint, HeadDigest, caller_digest
 from coralfall.placement.quarantine import Quarantine, crash_digest
 from coralfall.process.clock import ManualClock
-from coralfall.traffic.messages import News
+from coralfall.traffic.messages import GossipMessage
 from coralfall.traffic.model import EntryRecord
-from tests.traffic.known import Known
+from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.makers import make_record
 
 
@@ -174,17 +174,17 @@
         self.clock = ManualClock(100.0)
         self.fleet = [self.entry(f"e{number}") for number in range(4)]
 
-    def entry(self, name: str) -> Known:
-        known = Known(name, self.clock)
-        known.members.hear([make_record(f"e{number}") for number in range(4)])
+    def entry(self, name: str) -> EntryFixture:
+        known = EntryFixture(name, self.clock)
+        known.members.merge_records([make_record(f"e{number}") for number in range(4)])
         return known
 
-    def ask(self, one: Known, other: Known) -> None:
+    def ask(self, one: EntryFixture, other: EntryFixture) -> None:
         """One asks the other, as in a round of gossip."""
         other.exchange.take(one.exchange.news())
         one.exchange.take(other.exchange.answer(one.exchange.news()))
 
-    def know(self, *entries: Known) -> t.List[bool]:
+    def know(self, *entries: EntryFixture) -> t.List[bool]:
         return [bool(refused(known.quarantine, "x")) for known in entries]
 
     def end_three(self) -> None:
@@ -246,8 +246,8 @@
         encoded = msgspec.msgpack.encode(news)
         whole = msgspec.msgpack.decode(encoded)
         # The first element is the message's tag.
-        before = whole[: 1 + News.__struct_fields__.index("suspects")]
-        told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=News)
+        before = whole[: 1 + GossipMessage.__struct_fields__.index("suspects")]
+        told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
         self.assertEqual(((), 0), (told.suspects, told.suspects_sum))
         self.assertEqual(before, msgspec.msgpack.decode(encoded)[: len(before)])
         self.assertEqual(news.records, msgspec.msgpack.decode(encoded, type=EarlierNews).records)
@@ -255,8 +255,10 @@
     def test_one_entry_makes_it(self) -> None:
         names = [f"request{number}" for number in range(40)]
         for known in self.fleet:
-            known.members.set_own(ready=True)
-        chosen = [[known.members.is_first_for(name) for known in self.fleet] for name in names]
+            known.members.update_own(ready=True)
+        chosen = [
+            [known.members.is_responsible_for(name) for known in self.fleet] for name in names
+        ]
         self.assertEqual({1}, {sum(one) for one in chosen})
         self.assertGreater(len({tuple(one) for one in chosen}), 1)
 
--- a/tests/traffic/test_quarantine_fleet.py
+++ b/tests/traffic/test_quarantine_fleet.py
@@ -12,7 +12,7 @@
 from coralfall.placement.quarantine import crash_digest
 from coralfall.traffic.gossip import Gossip
 from coralfall.traffic.messages import Push
-from tests.traffic.known import Known
+from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.makers import make_record, make_state, make_target
 from tests.traffic.test_gossip import CarryingLinks
 from tests.virtual_loop import LoopClock, run_virtual
@@ -32,7 +32,7 @@
 class Links(CarryingLinks):
     """Carries pushes, too, unless all of them are lost."""
 
-    def __init__(self, others: t.Sequence[Known], pushes: bool) -> None:
+    def __init__(self, others: t.Sequence[EntryFixture], pushes: bool) -> None:
         super().__init__(others, _WAY_S)
         self._pushes = pushes
         self.gossip_by_address: t.Dict[str, Gossip] = {}
@@ -51,25 +51,25 @@
     def __init__(self, count: int, pushes: bool, clock: LoopClock) -> None:
         self.clock = clock
         self.rng = random.Random(count)
-        self.entries = [Known(f"e{number}", clock, seed=number) for number in range(count)]
+        self.entries = [EntryFixture(f"e{number}", clock, seed=number) for number in range(count)]
         self.links = Links(self.entries, pushes)
         self.sent_at: t.List[float] = []
         self.ended_at: t.List[float] = []
         records = [make_record(f"e{number}") for number in range(count)]
         self.work: t.List["asyncio.Task[t.Any]"] = []
         for number, known in enumerate(self.entries):
-            known.members.hear(records)
+            known.members.merge_records(records)
             known.learn_state(1, "state/a", make_state(3))
             known.learn_targets(2, make_target(1))
             gossip = self._gossip(known, number)
-            self.links.gossip_by_address[known.members.own.peer_address] = gossip
+            self.links.gossip_by_address[known.members.own_record.peer_address] = gossip
             self.work.append(asyncio.create_task(gossip.run()))
 
-    def _gossip(self, known: Known, seed: int) -> Gossip:
+    def _gossip(self, known: EntryFixture, seed: int) -> Gossip:
         links = t.cast(t.Any, self.links)
         return Gossip(known.exchange, known.members, links, [], self.clock, random.Random(seed))
 
-    async def attempt(self, known: Known) -> None:
+    async def attempt(self, known: EntryFixture) -> None:
         """One attempt at an entry: two sends at the most, each of which ends a target."""
         for _ in range(2):
             if known.quarantine.refuses(DEADLY, CALLER):
--- a/tests/traffic/test_quota_ledger.py
+++ b/tests/traffic/test_quota_ledger.py
@@ -11,7 +11,7 @@
 from coralfall.placement.ledger import SLOTS, Ledger, Limit, Slot, SlotGroup, grouped, slot_of
 from coralfall.placement.quota import key_of, limit_of
 from coralfall.process.clock import ManualClock
-from coralfall.traffic.messages import PermitRequest, Want
+from coralfall.traffic.messages import PermitRequest, TokenRequest
 from coralfall.traffic.permits import Permits
 from coralfall.traffic.quotas import Quotas
 from coralfall.traffic.reply import reply_of_error
@@ -19,8 +19,8 @@
 from tests.traffic.quota_fleet import (
     BOUNDS,
     STRICT_BOUNDS,
-    FakeBelief,
     FakeMembers,
+    FakeStateView,
     most_of,
 )
 
@@ -211,8 +211,8 @@
         own = make_record("e1", incarnation=Incarnation(7), **changes.pop("own", {}))
         ledger = Ledger(clock)
         permits = Permits(t.cast(t.Any, FakeMembers(own)), t.cast(t.Any, None), ledger, clock)
-        belief = FakeBelief(make_tenant(rate_per_s=10.0, burst=20.0))
-        permits.sources.append(Quotas(permits, t.cast(t.Any, belief), BOUNDS, clock))
+        state_view = FakeStateView(make_tenant(rate_per_s=10.0, burst=20.0))
+        permits.sources.append(Quotas(permits, t.cast(t.Any, state_view), BOUNDS, clock))
         peer = Hello(entry_id=EntryId("e2"), incarnation=Incarnation(1))
         lending: t.Dict[str, t.Any] = {
             "wants": (),
@@ -226,7 +226,7 @@
         for _ in range(600):
             clock.advance(0.1)
             ledger.tick()
-        want = Want(ACME, 50, 0, Limit(1.0, 1.0))
+        want = TokenRequest(ACME, 50, 0, Limit(1.0, 1.0))
         answer = permits.answer(peer, PermitRequest(wants=(want,)))
         return answer.grants[0].count, answer.closed
 
--- a/tests/traffic/test_registry.py
+++ b/tests/traffic/test_registry.py
@@ -13,10 +13,10 @@
 from coralfall.stores.memory_platform import Counters, FaultMode, MemoryTable, ServiceFault
 from coralfall.stores.store import Changes, Feed, Write
 from coralfall.traffic.registry import Registry
-from tests.traffic.known import Known, PlainTranslator
-from tests.traffic.makers import make_record, seeded
+from tests.traffic.entry_fixture import EntryFixture, JsonRowCodec
+from tests.traffic.makers import make_record, seeded_rng
 
-PREFIX = PlainTranslator.entry_prefix
+PREFIX = JsonRowCodec.entry_prefix
 
 
 class TableFeed(Feed):
@@ -52,21 +52,21 @@
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
         self.table = MemoryTable(self.clock, Counters())
-        self.known = {name: Known(name, self.clock) for name in ("e1", "e2", "e3")}
+        self.known = {name: EntryFixture(name, self.clock) for name in ("e1", "e2", "e3")}
         feed = TableFeed(self.table)
         self.registries = {
-            name: Registry(feed, self.table, PlainTranslator(), known.members, seeded())
+            name: Registry(feed, self.table, JsonRowCodec(), known.members, seeded_rng())
             for name, known in self.known.items()
         }
 
     async def test_entries_that_start_at_the_same_moment_know_of_each_other(self) -> None:
         feed = TogetherFeed(self.table)
         registries = [
-            Registry(feed, self.table, PlainTranslator(), self.known[name].members, seeded())
+            Registry(feed, self.table, JsonRowCodec(), self.known[name].members, seeded_rng())
             for name in ("e1", "e2")
         ]
         await asyncio.gather(*[registry.register() for registry in registries])
-        ids = [set(self.known[name].members.all_ids()) for name in ("e1", "e2")]
+        ids = [set(self.known[name].members.known_ids()) for name in ("e1", "e2")]
         self.assertIn({EntryId("e1"), EntryId("e2")}, ids)
 
     async def register(self, *names: str) -> None:
@@ -84,19 +84,19 @@
 
     def meet(self, *names: str) -> None:
         """Let these hear each other live."""
-        owns = [self.known[name].members.own for name in names]
+        owns = [self.known[name].members.own_record for name in names]
         # A new beat refutes that they are dead, as which the store's rows make them known.
         records = [msgspec.structs.replace(own, beat=own.beat + 1) for own in owns]
         for name in names:
-            self.known[name].members.hear(records)
+            self.known[name].members.merge_records(records)
 
     def forget(self, *names: str) -> None:
         """Let these forget all whom they don't hear."""
         self.clock.advance(defaults.ENTRY_FORGET_S + 10.0)
         for name in names:
             members = self.known[name].members
-            members.look()
-            members.look()
+            members.start_round()
+            members.start_round()
 
     async def reconcile(self, *names: str) -> None:
         for name in names:
@@ -104,8 +104,8 @@
 
     async def test_one_that_starts_knows_those_that_are_there(self) -> None:
         await self.register("e1", "e2")
-        self.assertEqual({"e1", "e2"}, self.known["e2"].members.all_ids())
-        self.assertEqual({"e1"}, self.known["e1"].members.all_ids())
+        self.assertEqual({"e1", "e2"}, self.known["e2"].members.known_ids())
+        self.assertEqual({"e1"}, self.known["e1"].members.known_ids())
         await self.registries["e1"].unregister()
         self.assertEqual({"e2"}, set(await self.rows()))
 
@@ -119,11 +119,11 @@
     async def test_the_row_of_one_that_is_lost_for_good_goes(self) -> None:
         await self.register("e3", "e1")
         self.forget("e1")
-        self.assertEqual({"e1"}, self.known["e1"].members.all_ids())
+        self.assertEqual({"e1"}, self.known["e1"].members.known_ids())
         await self.reconcile("e1")
         # It is asked for a while first.
         self.assertEqual({"e1", "e3"}, set(await self.rows()))
-        self.assertEqual({"e1", "e3"}, self.known["e1"].members.all_ids())
+        self.assertEqual({"e1", "e3"}, self.known["e1"].members.known_ids())
         self.forget("e1")
         await self.reconcile("e1")
         self.assertEqual({"e1"}, set(await self.rows()))
@@ -135,7 +135,7 @@
         await self.reconcile("e1")
         self.forget("e1")
         if heard:
-            self.known["e1"].members.hear([make_record("e3", beat=5)])
+            self.known["e1"].members.merge_records([make_record("e3", beat=5)])
         else:
             await self.register("e3")
         await self.reconcile("e1")
@@ -147,25 +147,27 @@
         self.meet("e1", "e2")
         for name, other in (("e1", "e2"), ("e2", "e1")):
             for _ in range(defaults.SUSPECT_MISSES):
-                self.known[name].members.missed(make_record(other).peer_address)
+                self.known[name].members.record_probe_failure(make_record(other).peer_address)
         for _ in range(4):
             self.forget("e1", "e2")
             await self.reconcile("e1", "e2")
             own = [name for name in ("e1", "e2") if name in await self.rows()]
             self.assertTrue(own)
         self.forget("e1", "e2")
-        self.assertEqual([1, 1], [len(self.known[name].members.all_ids()) for name in ("e1", "e2")])
+        self.assertEqual(
+            [1, 1], [len(self.known[name].members.known_ids()) for name in ("e1", "e2")]
+        )
         for _ in range(2):
             await self.reconcile("e1", "e2")
         # One that is known is asked, and who asks is heard of.
-        known = [len(self.known[name].members.all_ids()) for name in ("e1", "e2")]
+        known = [len(self.known[name].members.known_ids()) for name in ("e1", "e2")]
         self.assertEqual(2, max(known))
 
     async def test_rows_of_the_living_come_back(self) -> None:
         await self.register("e1", "e2")
         self.meet("e1", "e2")
         for known in self.known.values():
-            known.members.set_own(ready=True)
+            known.members.update_own(ready=True)
         self.meet("e1", "e2")
         for name in ("e1", "e2"):
             await self.table.transact([Write(PREFIX + name, None)])
--- a/tests/traffic/test_report_histories.py
+++ b/tests/traffic/test_report_histories.py
@@ -11,7 +11,7 @@
 from coralfall.placement.target_reports import TargetReport
 from coralfall.placement.targets import TargetState
 from coralfall.traffic.model import Target
-from tests.traffic.makers import PEDIDOS, Steered, make_route, make_target
+from tests.traffic.makers import PEDIDOS, SteeringFixture, make_route, make_target
 
 _SEEDS = 250
 _STEPS = 60
@@ -34,7 +34,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.steered = Steered()
+        self.steered = SteeringFixture()
         self.rows: t.Dict[TargetId, Target] = {}
         self.born = 1000
         #: Lifetimes that said to this entry that they leave, and ends of cooldowns.
--- a/tests/traffic/test_speed.py
+++ b/tests/traffic/test_speed.py
@@ -12,7 +12,7 @@
     PEDIDOS,
     PUERTO,
     REGIONS_BY_ZONE,
-    Steered,
+    SteeringFixture,
     make_route,
     make_settings,
     make_target,
@@ -43,7 +43,7 @@
             for number in seconds
         ]
         settings = make_settings(regions_by_zone={**REGIONS_BY_ZONE, RIO: RegionId("austro")})
-        self.steered = Steered(*targets, settings=settings)
+        self.steered = SteeringFixture(*targets, settings=settings)
 
     def ask(self, route: Route, key: str, left_s: float = 10.0) -> TargetId:
         """The target that a request is sent to; how long it takes is noted."""
--- a/tests/traffic/test_store_clock.py
+++ b/tests/traffic/test_store_clock.py
@@ -29,8 +29,8 @@
         self.store_clock.observe(asked_at, shown)
 
     def test_nothing_known(self) -> None:
-        self.assertEqual(float("inf"), self.store_clock.age(5.0))
-        self.assertIsNone(self.store_clock.latest())
+        self.assertEqual(float("inf"), self.store_clock.age_s(5.0))
+        self.assertIsNone(self.store_clock.latest_s())
 
     @parameterized.expand(
         [
@@ -45,30 +45,30 @@
         self.ask(there_s, back_s)
         shown = self.clock.monotonic() + AHEAD_S
         self.clock.advance(2.0)
-        age = self.store_clock.age(shown)
+        age = self.store_clock.age_s(shown)
         self.assertGreaterEqual(age, 2.0)
         self.assertLess(age, 2.0 + too_old_s + _DRIFT_S)
 
     def test_the_best_answer_counts(self) -> None:
         self.ask(0.0, 0.01)
         self.ask(0.9, 0.0)
-        self.assertLess(self.store_clock.age(self.clock.monotonic() + AHEAD_S), _DRIFT_S)
+        self.assertLess(self.store_clock.age_s(self.clock.monotonic() + AHEAD_S), _DRIFT_S)
 
     def test_an_old_bound_gives_way_to_drift(self) -> None:
         self.ask(0.0, 0.0)
         shown = self.clock.monotonic() + AHEAD_S
         self.clock.advance(1000.0)
-        self.assertGreater(self.store_clock.age(shown), 1000.1)
+        self.assertGreater(self.store_clock.age_s(shown), 1000.1)
 
     @parameterized.expand([("forward", 60.0), ("backward", -60.0)])
     def test_a_clock_that_jumps_is_learnt_anew(self, _name: str, jump_s: float) -> None:
         self.ask(0.0, 0.0)
         shown = self.clock.monotonic() + AHEAD_S + jump_s
         # Until it is: what seems to come from the future is of no known age, the rest seems old.
-        self.assertGreater(self.store_clock.age(shown), 50.0)
+        self.assertGreater(self.store_clock.age_s(shown), 50.0)
         self.store_clock.observe(self.clock.monotonic(), shown)
         self.clock.advance(1.0)
-        self.assertAlmostEqual(1.0, self.store_clock.age(shown), delta=_DRIFT_S)
+        self.assertAlmostEqual(1.0, self.store_clock.age_s(shown), delta=_DRIFT_S)
 
     @hypothesis.given(seed=st.integers(0, 10_000))
     @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
@@ -90,11 +90,11 @@
             asker, teller = rng.sample(range(4), 2)
             asked_at = clocks[asker].monotonic()
             wait()
-            latest = store_s if rng.random() < 0.2 else known[teller].latest()
+            latest = store_s if rng.random() < 0.2 else known[teller].latest_s()
             wait()
             if latest is not None:
                 known[asker].observe(asked_at, latest)
             shown.append((store_s, clocks[0].monotonic()))
             for stamp, at in shown:
-                age = known[0].age(stamp)
+                age = known[0].age_s(stamp)
                 self.assertGreaterEqual(age, clocks[0].monotonic() - at - 1e-6)
--- a/tests/traffic/test_target_fleet.py
+++ b/tests/traffic/test_target_fleet.py
@@ -107,8 +107,10 @@
         owner = owner_of(fleet)
         entries = fleet.entries[number % 2 :: 2]
         for entry in entries:
-            serving = [one for one in entry.members.serving() if one.entry_id != owner.entry_id]
-            entry.members.hear(serving, len(fleet.entries))
+            serving = [
+                one for one in entry.members.serving_records() if one.entry_id != owner.entry_id
+            ]
+            entry.members.merge_records(serving, len(fleet.entries))
         await fleet.play(0.3, per_s)
         fleet.tell_all()
         await fleet.play(0.3, per_s)
--- a/tests/traffic/test_target_limits.py
+++ b/tests/traffic/test_target_limits.py
@@ -10,9 +10,9 @@
 from coralfall.placement.target_limits import TargetLimits, bucket_for
 from coralfall.placement.targets import TargetBook
 from coralfall.process.clock import ManualClock
-from coralfall.traffic.messages import News
+from coralfall.traffic.messages import GossipMessage
 from coralfall.traffic.wire import parse_limit
-from tests.traffic.known import Known
+from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.limit_fleet import WINDOW_S, most_of
 from tests.traffic.makers import make_target
 
@@ -70,7 +70,7 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
-        self.fleet = [Known(f"e{number}", self.clock) for number in range(3)]
+        self.fleet = [EntryFixture(f"e{number}", self.clock) for number in range(3)]
         self.target = make_target()
         self.name(0, 3.6)
 
@@ -138,8 +138,8 @@
 
     def test_entries_of_the_version_before_are_understood_and_understand(self) -> None:
         whole = msgspec.msgpack.decode(msgspec.msgpack.encode(self.fleet[0].exchange.news()))
-        before = whole[: 1 + News.__struct_fields__.index("limits")]
-        told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=News)
+        before = whole[: 1 + GossipMessage.__struct_fields__.index("limits")]
+        told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
         self.assertEqual(((), 0), (told.limits, told.limits_sum))
 
 
--- a/tests/traffic/test_tenants.py
+++ b/tests/traffic/test_tenants.py
@@ -13,7 +13,7 @@
 from coralfall.traffic.settings import BoundSettings
 from coralfall.traffic.steered_request import SteeredRequest
 from coralfall.traffic.tenants import Identification, TenantTable, regions_of
-from tests.traffic.known import Known
+from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.makers import COSTA, SIERRA, make_route, make_state, make_tenant
 from tests.traffic.raw_target import RawTarget, Turn
 from tests.traffic.test_forwarder import Path
@@ -23,15 +23,15 @@
 Fields = t.List[t.Tuple[bytes, bytes]]
 
 
-def identification(known: Known) -> Identification:
-    return Identification(HEADERS, known.belief, BoundSettings(config_s=2.0))
+def identification(known: EntryFixture) -> Identification:
+    return Identification(HEADERS, known.state_view, BoundSettings(config_s=2.0))
 
 
 def state_with(version: int, *tenants: t.Any) -> t.Any:
     return msgspec.structs.replace(make_state(version), tenants=tenants)
 
 
-def found(known: Known, *keys: bytes, public: bool = False) -> str:
+def found(known: EntryFixture, *keys: bytes, public: bool = False) -> str:
     """The tenant of a request with these keys, or what it is answered."""
     fields = [(CREDENTIAL, key) for key in keys]
     try:
@@ -63,7 +63,7 @@
     def test_whose_a_request_is(
         self, _name: str, keys: t.Tuple[bytes, ...], public: bool, expected: str
     ) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_state(1, "state/a", state_with(1, *TENANTS))
         self.assertEqual(expected, found(known, *keys, public=public))
 
@@ -74,13 +74,13 @@
         ]
     )
     def test_without_tenants(self, _name: str, tenants: t.Any, expected: str) -> None:
-        known = Known()
+        known = EntryFixture()
         state = msgspec.structs.replace(make_state(1), tenants=tenants)
         known.learn_state(1, "state/a", state)
         self.assertEqual(expected, found(known, b"a1"))
 
     def test_keys_follow_the_newest_state(self) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_state(1, "state/a", state_with(1, make_tenant(keys=(b"old",))))
         known.learn_state(2, "state/a", state_with(2, make_tenant(keys=(b"old", b"new"))))
         self.assertEqual(("acme", "acme"), (found(known, b"old"), found(known, b"new")))
@@ -99,19 +99,19 @@
     def test_an_unknown_key_may_be_new_where_the_state_is_old(
         self, _name: str, age_s: float, expected: str
     ) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_state(1, "state/a", state_with(1, *TENANTS))
         t.cast(t.Any, known.clock).advance(age_s)
         self.assertEqual(expected, found(known, b"perhaps-new"))
         self.assertEqual("acme", found(known, b"a1"))
 
     def test_no_error_or_table_tells_a_key(self) -> None:
-        known = Known()
+        known = EntryFixture()
         known.learn_state(1, "state/a", state_with(1, make_tenant(keys=(b"sesame",))))
         fields = [(CREDENTIAL, b"sesame-2")]
         with self.assertRaises(CoralfallError) as caught:
             identification(known).tenant_of(fields, make_route())
-        told = str(caught.exception.as_dict()) + repr(known.belief.state)
+        told = str(caught.exception.as_dict()) + repr(known.state_view.state)
         self.assertNotIn("sesame", told + repr(TenantTable(TENANTS)))
 
 
