--- a/benchmarks/deciders.py
+++ b/benchmarks/deciders.py
@@ -216,7 +216,7 @@
             for peer in peers if self.slots.awaited else self.rng.sample(peers, few):
                 self._later(peer, self._hear, peer)
             for _ in range(4):
-                await asyncio.sleep(defaults.HEARTBEAT_S / 4)
+                await asyncio.sleep(defaults.HEARTBEAT_INTERVAL_S / 4)
                 self.refresh()
                 self._give_back()
                 self.steering.wake_all()
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -15,7 +15,7 @@
 import typing as t
 
 from coralfall.balancing.steering import AttemptResult
-from coralfall.defaults import CONNECT_TIMEOUT_S, GRACE_S, MAX_ATTEMPTS, POLL_S
+from coralfall.defaults import CONNECT_TIMEOUT_S, GRACE_S, MAX_ATTEMPTS, TABLE_POLL_INTERVAL_S
 from coralfall.exceptions import RefusedError
 from coralfall.forwarding.retry import RetryBudget
 from coralfall.ids import EntryId, PartnerId, PolicyName, RegionId, ServiceId, TargetId, ZoneId
@@ -176,7 +176,12 @@
             bundle = make_bundle(partner, self.policy, drain=True)
             for entry in self.entries.values():
                 later = asyncio.get_running_loop().call_later
-                later(self.rng.random() * POLL_S, entry.take_bundle, bundle, self.clock.now)
+                later(
+                    self.rng.random() * TABLE_POLL_INTERVAL_S,
+                    entry.take_bundle,
+                    bundle,
+                    self.clock.now,
+                )
         await asyncio.sleep(self.load.seconds - EVENT_AT_S - 1)
         left = [x for x in self.targets if int(x.rpartition("-")[2]) % 10 == 0]
         marked = self.start + EVENT_AT_S
@@ -205,11 +210,11 @@
             if not entry.in_flight:
                 break
         self.lives[entry_id].cancel()
-        self.announce(POLL_S)
+        self.announce(TABLE_POLL_INTERVAL_S)
         await asyncio.sleep(1.0)
         self.entries[entry_id] = self.make_entry(entry_id)
         self.begin(self.entries[entry_id])
-        self.announce(POLL_S)
+        self.announce(TABLE_POLL_INTERVAL_S)
 
     async def callers(self, partner: PartnerId, service: ServiceId, kind: Kind) -> None:
         rate = self.capacity(partner, service) * self.load.share
--- a/src/coralfall/balancing/fleet_steering.py
+++ b/src/coralfall/balancing/fleet_steering.py
@@ -122,7 +122,7 @@
         if result in _MAY_STILL_RUN:
             # The target learns of a closed connection or a passed deadline after this entry.
             loop = asyncio.get_running_loop()
-            loop.call_later(defaults.CANCEL_REST_S, self._free, reservation)
+            loop.call_later(defaults.SLOT_CANCEL_COOLDOWN_S, self._free, reservation)
             return
         self._free(reservation)
 
@@ -181,7 +181,7 @@
         if self._queue_is_full(service_state, service):
             raise service_state.router.busy()
         now = self._clock.monotonic()
-        seconds = min(defaults.MAX_QUEUE_S, (deadline - now) * _MAX_QUEUE_PART)
+        seconds = min(defaults.MAX_QUEUE_WAIT_S, (deadline - now) * _MAX_QUEUE_PART)
         return await self._queue(service_state, service, rules, tried, now + seconds)
 
     async def _queue(
--- a/src/coralfall/balancing/health.py
+++ b/src/coralfall/balancing/health.py
@@ -109,7 +109,10 @@
         """Whether requests failed in a row, or it calls itself unwell and no answer says else."""
         if self.suspect:
             return True
-        return now - self._unwell_at < defaults.UNWELL_S and self._answered_at < self._unwell_at
+        return (
+            now - self._unwell_at < defaults.UNHEALTHY_REPORT_TTL_S
+            and self._answered_at < self._unwell_at
+        )
 
     def paused(self, now: float) -> bool:
         """Whether it said a moment ago that it was full."""
--- a/src/coralfall/balancing/lending.py
+++ b/src/coralfall/balancing/lending.py
@@ -71,8 +71,8 @@
     def answer(self, borrower: EntryId, request: LoanRequest) -> LoanAnswer:
         """Grant what can be granted, perhaps nothing; call it as soon as a request is read."""
         loan_id = self._next_id
-        seconds = min(defaults.LOAN_S, self._lease.remaining_s())
-        granted = self._choose(request) if seconds >= defaults.MIN_LOAN_S else []
+        seconds = min(defaults.LOAN_TTL_S, self._lease.remaining_s())
+        granted = self._choose(request) if seconds >= defaults.MIN_LOAN_TTL_S else []
         if not granted:
             return LoanAnswer(loan_id=loan_id, slots=(), seconds=0.0)
         self._next_id += 1
@@ -197,7 +197,7 @@
         asks = self._asks_by_service.setdefault(service, [])
         for ask in asks:
             count -= ask.request.count
-        if count <= 0 or len(asks) >= defaults.MAX_LOAN_ASKS:
+        if count <= 0 or len(asks) >= defaults.MAX_LOAN_REQUESTS:
             return None
         peer = self._choose(service, regions)
         if peer is None:
@@ -249,7 +249,7 @@
         due: t.Dict[t.Tuple[EntryId, int], t.List[LentSlot]] = {}
         kept = []
         for slot in self._borrowed:
-            unused = now - slot.used_at >= defaults.LOAN_IDLE_S
+            unused = now - slot.used_at >= defaults.LOAN_IDLE_TIMEOUT_S
             if slot.busy or not (unused or now >= slot.valid_until):
                 kept.append(slot)
                 continue
@@ -271,10 +271,10 @@
         if answer.slots:
             self._refusals.pop(key, None)
             return
-        wait_s = defaults.LOAN_REFUSED_S
+        wait_s = defaults.LOAN_BACKOFF_S
         before = self._refusals.get(key)
         if before is not None:
-            wait_s = min(2 * before.wait_s, defaults.MAX_LOAN_REFUSED_S)
+            wait_s = min(2 * before.wait_s, defaults.MAX_LOAN_BACKOFF_S)
         self._refusals[key] = _Refusal(self._clock.monotonic() + wait_s, wait_s)
 
     def _choose(self, service: ServiceId, regions: t.Sequence[RegionId]) -> t.Optional[EntryId]:
--- a/src/coralfall/balancing/limits.py
+++ b/src/coralfall/balancing/limits.py
@@ -141,7 +141,7 @@
                 view = _View({bundle.partner: bundle for bundle in bundles})
                 self._view_by_versions[versions] = view
             # A loan made under this view may be used, and a request run, for so long.
-            lasts_s = defaults.LOAN_S + view.longest_s + defaults.HANDOVER_MARGIN_S
+            lasts_s = defaults.LOAN_TTL_S + view.longest_s + defaults.HANDOVER_MARGIN_S
             view.lasts_until = now + lasts_s
             current.append(view)
         return current
--- a/src/coralfall/balancing/owned_slots.py
+++ b/src/coralfall/balancing/owned_slots.py
@@ -151,7 +151,7 @@
                 if slot.blocker in settled.removed or (anyone and settled.removed):
                     slot.rests_from = max(slot.rests_from, now + self._lapse_s)
                 elif slot.blocker in settled.acked or (anyone and settled.acked):
-                    slot.rests_from = max(slot.rests_from, now + defaults.LOAN_S)
+                    slot.rests_from = max(slot.rests_from, now + defaults.LOAN_TTL_S)
                 else:
                     continue
                 slot.blocker = _UNSETTLED
--- a/src/coralfall/balancing/slots.py
+++ b/src/coralfall/balancing/slots.py
@@ -41,7 +41,7 @@
         self._holdings = Holdings()
         self._usage = SlotUsage()
         # A loan ends before its owner's lease, or else after no more than its own time.
-        lapse_s = max(settings.ttl_s, defaults.LOAN_S)
+        lapse_s = max(settings.ttl_s, defaults.LOAN_TTL_S)
         self._owned_slots = OwnedSlots(entry_id, self._holdings, clock, lapse_s)
 
     # What the table is told.
--- a/src/coralfall/balancing/steering.py
+++ b/src/coralfall/balancing/steering.py
@@ -66,7 +66,7 @@
         :param tried: targets that earlier attempts of the request used; not taken again.
         :param deadline: monotonic time by which the request must be over.
         :param body_bytes: length of the request's body, or the most it may be.
-        :raises RefusedError: at once, or after ``defaults.MAX_QUEUE_S`` at most.
+        :raises RefusedError: at once, or after ``defaults.MAX_QUEUE_WAIT_S`` at most.
         """
 
     @abc.abstractmethod
--- a/src/coralfall/forwarding/dispatch.py
+++ b/src/coralfall/forwarding/dispatch.py
@@ -103,7 +103,7 @@
         body.limit = rules.max_body_bytes
         try:
             async with asyncio.timeout(deadline - self._clock.monotonic()):
-                await body.hold(defaults.MAX_HELD_BODY_BYTES)
+                await body.hold(defaults.MAX_BUFFERED_BODY_BYTES)
         except TimeoutError:
             message = "the body did not come before the deadline"
             raise RequestError("body-too-slow", 408, message) from None
--- a/src/coralfall/forwarding/request.py
+++ b/src/coralfall/forwarding/request.py
@@ -20,7 +20,7 @@
     :param limit: most bytes at one time.
     """
 
-    def __init__(self, limit: int = defaults.MAX_HELD_BYTES) -> None:
+    def __init__(self, limit: int = defaults.MAX_BUFFERED_BYTES) -> None:
         self.limit = limit
         self.held = 0
 
@@ -53,7 +53,7 @@
         self, pieces: t.AsyncIterator[bytes], length: t.Optional[int], memory: MemoryAccount
     ) -> None:
         self.length = length
-        self.limit = defaults.MAX_HELD_BODY_BYTES
+        self.limit = defaults.MAX_BUFFERED_BODY_BYTES
         #: Whether all of it has come from the caller.
         self.ended = False
         #: What ended the body early, if anything did.
--- a/src/coralfall/forwarding/upstream.py
+++ b/src/coralfall/forwarding/upstream.py
@@ -45,7 +45,9 @@
     def __init__(self, steering: "Steering", clock: "Clock") -> None:
         self._steering = steering
         self._clock = clock
-        self._kept = aiohttp.TCPConnector(limit=0, keepalive_timeout=defaults.IDLE_CONNECTION_S)
+        self._kept = aiohttp.TCPConnector(
+            limit=0, keepalive_timeout=defaults.CONNECTION_IDLE_TIMEOUT_S
+        )
         self._fresh = aiohttp.TCPConnector(limit=0, force_close=True)
         self._open_by_address: t.Dict[str, int] = {}
         self._exchanges: t.Set[Exchange] = set()
--- a/src/coralfall/idempotency/claim_queue.py
+++ b/src/coralfall/idempotency/claim_queue.py
@@ -115,8 +115,8 @@
         if isinstance(error, PlatformUnknownError) and not self._doubtful:
             self._doubtful = True
             return False
-        pause = defaults.CLAIM_RETRY_MIN_S * 2 ** min(self._failures, _MAX_DOUBLINGS)
-        self._retry_at = now + min(pause, defaults.CLAIM_RETRY_MAX_S)
+        pause = defaults.CLAIM_BACKOFF_MIN_S * 2 ** min(self._failures, _MAX_DOUBLINGS)
+        self._retry_at = now + min(pause, defaults.CLAIM_BACKOFF_MAX_S)
         self._failures += 1
         log.warning("claims.failed", error=error, in_row=self._failures)
         return True
--- a/src/coralfall/idempotency/claims.py
+++ b/src/coralfall/idempotency/claims.py
@@ -111,7 +111,7 @@
         service: "ServiceId",
         key: "IdempotencyKey",
         fingerprint: str,
-        time_left_s: float = defaults.CLAIM_WAIT_S,
+        time_left_s: float = defaults.CLAIM_TIMEOUT_S,
     ) -> t.Union[Claim, KeptAnswer]:
         """Leave to dispatch the command that ``key`` names, or the answer it got earlier.
 
@@ -150,11 +150,11 @@
     async def finish(self, claim: Claim, answer: KeptAnswer) -> None:
         """Keep the answer for those who ask again.
 
-        Returns at once. Of an answer longer than ``defaults.MAX_KEPT_ANSWER_BYTES`` only the
+        Returns at once. Of an answer longer than ``defaults.MAX_STORED_ANSWER_BYTES`` only the
         status is kept.
         """
-        fits = self._waiting_bytes + answer.size() <= defaults.MAX_WAITING_ANSWER_BYTES
-        if answer.size() > defaults.MAX_KEPT_ANSWER_BYTES or not fits:
+        fits = self._waiting_bytes + answer.size() <= defaults.MAX_PENDING_ANSWER_BYTES
+        if answer.size() > defaults.MAX_STORED_ANSWER_BYTES or not fits:
             answer = KeptAnswer(answer.status)
         self._settle(claim, ClaimState.DONE, answer)
         self._waiting_bytes += answer.size()
@@ -183,13 +183,13 @@
     async def stop(self) -> None:
         """Refuse new claims, and return when what became of the others is written.
 
-        Gives up after ``defaults.CLAIM_STOP_S``: a key that is not settled stays claimed.
+        Gives up after ``defaults.CLAIM_FLUSH_TIMEOUT_S``: a key that is not settled stays claimed.
         """
         self._stopping = True
         self._queue.closing = True
         self._wake.set()
         try:
-            async with asyncio.timeout(defaults.CLAIM_STOP_S):
+            async with asyncio.timeout(defaults.CLAIM_FLUSH_TIMEOUT_S):
                 await self._idle.wait()
         except asyncio.TimeoutError:
             log.warning("claims.unsettled", count=len(self._records_by_key))
--- a/src/coralfall/lookups/proximity.py
+++ b/src/coralfall/lookups/proximity.py
@@ -78,18 +78,18 @@
         near = at_site + in_zone
         in_region = _without(self._by_region.get(site.region, []), near)
         elsewhere = _without(self._suitable, near + in_region)
-        near_room = defaults.LOOKUP_ENTRIES
+        near_room = defaults.MAX_LOOKUP_ENTRIES
         if in_region or elsewhere:
             near_room -= 1
         groups = _take([at_site, in_zone], near_room)
-        room = defaults.LOOKUP_ENTRIES - sum(group.named for group in groups)
+        room = defaults.MAX_LOOKUP_ENTRIES - sum(group.named for group in groups)
         # With no entry near these carry the site's callers, and all of them share the load.
         sample_for = site_id if near else None
         return (*groups, *_take([in_region, elsewhere], room, sample_for))
 
     def plan_anywhere(self) -> Plan:
         """Which entries answers name if the bundle states no site: all are equally near."""
-        return _take([self._suitable], defaults.LOOKUP_ENTRIES)
+        return _take([self._suitable], defaults.MAX_LOOKUP_ENTRIES)
 
 
 def order_entries(plan: Plan, client: int) -> t.Tuple[str, ...]:
--- a/src/coralfall/peering/gossip.py
+++ b/src/coralfall/peering/gossip.py
@@ -27,7 +27,7 @@
     #: Neighbours at a time.
     fanout: int = defaults.HEARTBEAT_FANOUT
     #: How many of them are of another region.
-    outside: int = defaults.HEARTBEAT_OUTSIDE
+    outside: int = defaults.HEARTBEAT_REMOTE_FANOUT
     #: Rounds for which a neighbour is kept.
     rounds: int = defaults.NEIGHBOUR_ROUNDS
 
@@ -162,7 +162,7 @@
     come whole, so it counts only when the table has been silent for a while.
     """
     heads = _is_older(ours.accepted, theirs.accepted) or _is_older(ours.staged, theirs.staged)
-    silent = ours.platform_age_s >= defaults.PEER_ROSTER_AGE_S
+    silent = ours.platform_age_s >= defaults.PEER_ROSTER_FALLBACK_S
     return Lag(heads=heads, roster=silent and ours.roster_revision < theirs.roster_revision)
 
 
--- a/src/coralfall/peering/peer_directory.py
+++ b/src/coralfall/peering/peer_directory.py
@@ -39,7 +39,7 @@
         self._failed_at_by_id.pop(entry_id, None)
 
     def note_failure(self, entry_id: EntryId) -> None:
-        """Note that a peer did not answer; it is avoided for ``PEER_AVOID_S`` seconds."""
+        """Note that a peer did not answer; it is avoided for ``PEER_COOLDOWN_S`` seconds."""
         self._failed_at_by_id[entry_id] = self._clock.monotonic()
 
     def heard(self, entry_id: EntryId) -> t.Optional[Heard]:
@@ -48,7 +48,7 @@
 
     def avoided(self) -> t.Set[EntryId]:
         """Peers that failed lately."""
-        since = self._clock.monotonic() - defaults.PEER_AVOID_S
+        since = self._clock.monotonic() - defaults.PEER_COOLDOWN_S
         return {entry_id for entry_id, at in self._failed_at_by_id.items() if at > since}
 
     def forget_others(self, members_by_id: t.Mapping[EntryId, "Member"]) -> None:
--- a/src/coralfall/peering/peers.py
+++ b/src/coralfall/peering/peers.py
@@ -183,7 +183,7 @@
             self._spawn(self._bootstrap_from_seeds())
 
     def _is_urgent(self) -> bool:
-        silent = self._handler.heartbeat().platform_age_s >= defaults.PEER_ROSTER_AGE_S
+        silent = self._handler.heartbeat().platform_age_s >= defaults.PEER_ROSTER_FALLBACK_S
         return silent or self._news.is_set() or self._clock.monotonic() < self._borrowing_until
 
     def _begin_exchange(self, entry_id: EntryId) -> None:
--- a/src/coralfall/placement/admission.py
+++ b/src/coralfall/placement/admission.py
@@ -79,7 +79,7 @@
 
     def come_back_s(self, state: "TargetState") -> float:
         """Seconds after which a caller may come back whom a target turned away."""
-        return _NO_SHORTAGE_S if state.has_room() else defaults.COME_BACK_S
+        return _NO_SHORTAGE_S if state.has_room() else defaults.STEER_RETRY_AFTER_S
 
     def drained_s(self, state: "TargetState") -> float:
         """Seconds until a target has worked off its queue, if no more comes."""
--- a/src/coralfall/placement/affinity.py
+++ b/src/coralfall/placement/affinity.py
@@ -209,20 +209,22 @@
         waits_s = [max(pair) for pair in zip(cooldowns_s, limits_s, strict=True)]
         if any(cooldowns_s) and all(waits_s):
             message = f"{len(states)} targets of {service} take no requests for a while"
-            come_back_s = max(defaults.COME_BACK_S, min(waits_s))
+            come_back_s = max(defaults.STEER_RETRY_AFTER_S, min(waits_s))
             return RefusedError(message, come_back_s, service=service, reason=COOLDOWN)
         limited = [wait_s for wait_s in limits_s if wait_s > 0]
         if not limited:
             message = f"no target of {service} can be used now"
-            return RefusedError(message, defaults.COME_BACK_S, service=service, reason="no-target")
+            return RefusedError(
+                message, defaults.STEER_RETRY_AFTER_S, service=service, reason="no-target"
+            )
         message = f"{len(limited)} targets of {service} have had what their limits allow"
-        come_back_s = min(max(defaults.COME_BACK_S, min(limited)), _MAX_COME_BACK_S)
+        come_back_s = min(max(defaults.STEER_RETRY_AFTER_S, min(limited)), _MAX_COME_BACK_S)
         return RefusedError(message, come_back_s, service=service, reason="limited")
 
     def _come_back_s(self, homes: t.Sequence["TargetState"]) -> float:
         """Seconds after which one of the targets should have room."""
         drained_s = min([self.admission.drained_s(state) for state in homes])
-        return min(max(defaults.COME_BACK_S, drained_s), _MAX_COME_BACK_S)
+        return min(max(defaults.STEER_RETRY_AFTER_S, drained_s), _MAX_COME_BACK_S)
 
     def _most_of(
         self, state: "TargetState", first: bool, key: bytes, limit: float, route: "Route"
@@ -313,7 +315,7 @@
         ranked = self._ranked.get((service, key, regions))
         if ranked is None:
             ranked = self._ranked[service, key, regions] = self._make_ranked(service, key, regions)
-            if len(self._ranked) > defaults.AFFINITY_CACHE:
+            if len(self._ranked) > defaults.AFFINITY_CACHE_OBJECTS:
                 self._ranked.popitem(last=False)
         return ranked
 
--- a/src/coralfall/placement/departures.py
+++ b/src/coralfall/placement/departures.py
@@ -74,7 +74,7 @@
     def recent(self) -> t.Tuple[Lifetime, ...]:
         """What is news still, the latest first."""
         latest = sorted(self._news, key=lambda lifetime: self._news[lifetime], reverse=True)
-        return tuple(latest[: defaults.GOSSIP_DEPARTURES])
+        return tuple(latest[: defaults.MAX_GOSSIP_DEPARTURES])
 
     def all(self) -> t.Tuple[Lifetime, ...]:
         """Those whose targets are among the ones that there are."""
@@ -93,7 +93,7 @@
         self.on_change()
 
     def _index(self, now: float) -> None:
-        since = now - defaults.GOSSIP_NEWS_S
+        since = now - defaults.GOSSIP_UPDATE_TTL_S
         present = tuple([one for one, seen_at in self._seen_at.items() if seen_at > since])
         if present == self._present:
             return
@@ -108,7 +108,7 @@
             return
         now = self._clock.monotonic()
         for lifetime, learnt_at in list(self._news.items()):
-            if now - learnt_at >= defaults.GOSSIP_NEWS_S:
+            if now - learnt_at >= defaults.GOSSIP_UPDATE_TTL_S:
                 del self._news[lifetime]
         for lifetime, seen_at in list(self._seen_at.items()):
             state = targets.get(lifetime.target_id)
--- a/src/coralfall/placement/ledger.py
+++ b/src/coralfall/placement/ledger.py
@@ -310,7 +310,7 @@
     :param reserved: tokens that are for others; who needs one beyond them queues behind nobody.
     """
     if rate_per_s <= 0:
-        return defaults.QUOTA_ASK_S
+        return defaults.QUOTA_TIMEOUT_S
     first = now + max(0.0, 1.0 + reserved - bucket.tokens) / rate_per_s
     if reserved:
         return min(first - now, _MAX_WAIT_S)
--- a/src/coralfall/placement/quarantine.py
+++ b/src/coralfall/placement/quarantine.py
@@ -222,10 +222,10 @@
         if not self._by_fingerprint:
             return ()
         now = self._clock.monotonic()
-        since = now - defaults.GOSSIP_NEWS_S
+        since = now - defaults.GOSSIP_UPDATE_TTL_S
         news = [one for one in self._by_fingerprint.values() if one.learnt_at > since]
         news.sort(key=lambda one: (len(one.counted), one.learnt_at), reverse=True)
-        return tuple([one.suspect(now) for one in news[: defaults.GOSSIP_SUSPECTS]])
+        return tuple([one.suspect(now) for one in news[: defaults.MAX_GOSSIP_SUSPECT_REQUESTS]])
 
     def all(self) -> t.Tuple[Suspect, ...]:
         """All that more than one target ended with."""
@@ -245,7 +245,7 @@
         """Let go of suspects that came no more, and of the least suspected if there are many."""
         since = self._clock.monotonic() - self._hold_s
         gone = [one for one in self._by_fingerprint.values() if one.seen_at <= since]
-        surplus = len(self._by_fingerprint) - len(gone) - defaults.MAX_SUSPECTS
+        surplus = len(self._by_fingerprint) - len(gone) - defaults.MAX_SUSPECT_REQUESTS
         if surplus > 0:
             kept = [one for one in self._by_fingerprint.values() if one.seen_at > since]
             kept.sort(key=lambda one: (len(one.counted), one.seen_at))
@@ -311,7 +311,7 @@
         crashes = len(record.counted)
         if crashes < defaults.QUARANTINE_CRASHES:
             return False
-        if crashes >= defaults.QUARANTINE_UNSURE_CRASHES:
+        if crashes >= defaults.QUARANTINE_AMBIGUOUS_CRASHES:
             return True
         return self._alone(record) >= defaults.QUARANTINE_CRASHES
 
--- a/src/coralfall/placement/target_limits.py
+++ b/src/coralfall/placement/target_limits.py
@@ -170,10 +170,10 @@
         """What is news still, the latest first."""
         if not self._by_target:
             return ()
-        since = self._clock.monotonic() - defaults.GOSSIP_NEWS_S
+        since = self._clock.monotonic() - defaults.GOSSIP_UPDATE_TTL_S
         news = [one for one in self._by_target.values() if one.changed_at > since]
         news.sort(key=lambda one: one.changed_at, reverse=True)
-        return tuple([one.limit for one in news[: defaults.GOSSIP_LIMITS]])
+        return tuple([one.limit for one in news[: defaults.MAX_GOSSIP_LIMITS]])
 
     def all(self) -> t.Tuple[NamedLimit, ...]:
         """All that is known."""
@@ -210,7 +210,7 @@
         in_force = set()
         for target_id, record in self._by_target.items():
             # A limit may be heard of before its target is.
-            present = now - record.seen_at < defaults.GOSSIP_NEWS_S
+            present = now - record.seen_at < defaults.GOSSIP_UPDATE_TTL_S
             if present and record.limit.rate_per_s is not None:
                 in_force.add(target_id)
         self._sum = None
--- a/src/coralfall/placement/targets.py
+++ b/src/coralfall/placement/targets.py
@@ -170,9 +170,9 @@
         if refused or (not reached and self._rests >= _DOUBTED_RESTS):
             self._doubt()
         silent = silent_since is not None and silent_since > self._answered_at
-        if reached and not silent and self._failures < defaults.REST_FAILURES:
+        if reached and not silent and self._failures < defaults.EJECTION_FAILURES:
             return
-        seconds = min(defaults.REST_S * 2.0**self._rests, defaults.MAX_REST_S)
+        seconds = min(defaults.EJECTION_S * 2.0**self._rests, defaults.MAX_EJECTION_S)
         self._rests += 1
         self._rests_until = self._clock.monotonic() + seconds
         log.info(
--- a/src/coralfall/platform/store.py
+++ b/src/coralfall/platform/store.py
@@ -134,7 +134,7 @@
         kept = self._take_idle()
         if kept is not None:
             try:
-                return await self._call(kept, head, b"", defaults.STORE_KEPT_S + wait_s)
+                return await self._call(kept, head, b"", defaults.STORE_REUSED_TIMEOUT_S + wait_s)
             except (BrokenAnswerError, OSError):
                 # Open connections may have gone silent, or been cut, while new ones work.
                 self._drop_idle()
--- a/src/coralfall/settings.py
+++ b/src/coralfall/settings.py
@@ -56,11 +56,11 @@
     #: Seconds for which the lease counts after its renewal was sent; the same on all entries.
     ttl_s: float = defaults.LEASE_TTL_S
     #: Seconds between renewals of the lease.
-    renew_s: float = defaults.LEASE_RENEW_S
+    renew_s: float = defaults.LEASE_RENEW_INTERVAL_S
     #: Seconds between two reads of what changed in the platform's table.
-    poll_s: float = defaults.POLL_S
+    poll_s: float = defaults.TABLE_POLL_INTERVAL_S
     #: Seconds between two reads of the platform's VM list by the coordinator.
-    vm_list_s: float = defaults.VM_LIST_S
+    vm_list_s: float = defaults.VM_LIST_POLL_INTERVAL_S
 
 
 class PeerSettings(Settings, frozen=True):
@@ -71,18 +71,18 @@
     #: Addresses to ask when the table can't be read, as ``ip:port``.
     seeds: t.Tuple[str, ...] = ()
     #: Seconds between two rounds of heartbeats.
-    heartbeat_s: float = defaults.HEARTBEAT_S
+    heartbeat_s: float = defaults.HEARTBEAT_INTERVAL_S
 
 
 class ClaimSettings(Settings, frozen=True):
     """Times of the claims on idempotency keys, in seconds."""
 
     #: Most seconds that a command waits for its claim; then it is refused.
-    wait_s: float = defaults.CLAIM_WAIT_S
+    wait_s: float = defaults.CLAIM_TIMEOUT_S
     #: Least seconds between two transactions of one entry.
-    interval_s: float = defaults.CLAIM_INTERVAL_S
+    interval_s: float = defaults.CLAIM_MIN_INTERVAL_S
     #: Most seconds that an answer waits for others before it is written.
-    settle_s: float = defaults.CLAIM_SETTLE_S
+    settle_s: float = defaults.CLAIM_BATCH_DELAY_S
 
 
 class HttpSettings(Settings, frozen=True):
@@ -92,8 +92,8 @@
     header_timeout_s: float = defaults.HEADER_TIMEOUT_S
     max_header_bytes: int = defaults.MAX_HEADER_BYTES
     #: An idle connection is closed after this time, or sooner once the server stops.
-    idle_timeout_s: float = defaults.IDLE_CALLER_S
-    idle_stop_s: float = defaults.IDLE_STOP_S
+    idle_timeout_s: float = defaults.CALLER_IDLE_TIMEOUT_S
+    idle_stop_s: float = defaults.SHUTDOWN_IDLE_TIMEOUT_S
     max_connections: int = defaults.MAX_CONNECTIONS
     max_idle_connections: int = defaults.MAX_IDLE_CONNECTIONS
     #: Requests of one connection that wait behind the one being answered.
@@ -104,8 +104,8 @@
     """How often and how soon a supervisor restarts a child that fails."""
 
     #: Failures of a child within ``window_s`` seconds; with one more its supervisor ends.
-    max_failures: int = defaults.MAX_FAILURES
-    window_s: float = defaults.FAILURE_WINDOW_S
+    max_failures: int = defaults.MAX_CHILD_FAILURES
+    window_s: float = defaults.CHILD_FAILURE_WINDOW_S
     #: Most seconds before the first restart; doubled for each further one, up to the longest.
     backoff_s: float = defaults.RESTART_BACKOFF_S
     max_backoff_s: float = defaults.MAX_RESTART_BACKOFF_S
--- a/src/coralfall/simulation/entries.py
+++ b/src/coralfall/simulation/entries.py
@@ -211,9 +211,11 @@
         place.release()
         self._send_again(attempt)
 
-    def _send_again(self, attempt: Attempt, come_back_s: float = defaults.COME_BACK_S) -> None:
+    def _send_again(
+        self, attempt: Attempt, come_back_s: float = defaults.STEER_RETRY_AFTER_S
+    ) -> None:
         service = attempt.route.backends[0].service
-        has_time = attempt.deadline - self._agenda.now > defaults.MIN_SEND_S
+        has_time = attempt.deadline - self._agenda.now > defaults.MIN_SEND_TIME_LEFT_S
         may = attempt.sends < attempt.route.max_attempts and has_time
         if may and self._budget.take(service):
             self._send(attempt)
--- a/src/coralfall/traffic/callers.py
+++ b/src/coralfall/traffic/callers.py
@@ -56,7 +56,7 @@
         self._forwarder = forwarder
         self._telemetry = telemetry
         self._clock = clock
-        self._memory = MemoryAccount(defaults.MAX_HELD_BYTES)
+        self._memory = MemoryAccount(defaults.MAX_BUFFERED_BYTES)
         #: Requests being served.
         self.in_hand = 0
 
@@ -123,7 +123,7 @@
                 raise RequestError("body-too-large", 413, message)
         try:
             async with asyncio.timeout(request.deadline - self._clock.monotonic()):
-                await body.hold(defaults.MAX_HELD_UPLOAD_BYTES)
+                await body.hold(defaults.MAX_BUFFERED_UPLOAD_BYTES)
         except TimeoutError:
             message = "the body did not come before the deadline"
             raise RequestError("body-too-slow", 408, message) from None
@@ -137,7 +137,7 @@
         routes = self._state_view.routes
         if routes is None:
             message = "no desired state is known yet"
-            raise RefusedError(message, defaults.COME_BACK_S, reason="no-state")
+            raise RefusedError(message, defaults.STEER_RETRY_AFTER_S, reason="no-state")
         headers = scope["headers"]
         host = _header(headers, b"host") or b""
         path = scope["raw_path"].decode("latin-1")
--- a/src/coralfall/traffic/exchange.py
+++ b/src/coralfall/traffic/exchange.py
@@ -159,7 +159,7 @@
         """
         if not self._members.alive_records():
             return True
-        patience = defaults.GOSSIP_DIFFER_S * (
+        patience = defaults.GOSSIP_FULL_SYNC_DELAY_S * (
             1 + self._members.fleet_size() / _MEMBERS_PER_PATIENCE
         )
         if self._differs_since is None or now - self._differs_since < patience:
--- a/src/coralfall/traffic/follower.py
+++ b/src/coralfall/traffic/follower.py
@@ -104,7 +104,7 @@
         The first ones ask often: all know of the store's return soon, and few calls are made.
         """
         pause = min(_MIN_PAUSE_S * 2.0 ** min(self._failures, 4), _MAX_PAUSE_S)
-        return min(pause * (1 + self._members.rank() / defaults.HANDING_RANKS), _MAX_FAR_PAUSE_S)
+        return min(pause * (1 + self._members.rank() / defaults.BROADCAST_RANKS), _MAX_FAR_PAUSE_S)
 
     async def read(self) -> None:
         """Read once and hand on what was read.
@@ -140,7 +140,7 @@
         self._changed(changed)
         # All rows are long; whoever lacks them asks for them once. Handed on by each that starts,
         # they came to every one of 12 or 195 entries eight times (virtual time, 20 ms a message).
-        if since and self._members.rank() < defaults.HANDING_RANKS:
+        if since and self._members.rank() < defaults.BROADCAST_RANKS:
             self._hand_on(since)
 
     def _wait(self) -> float:
--- a/src/coralfall/traffic/forwarder.py
+++ b/src/coralfall/traffic/forwarder.py
@@ -197,7 +197,7 @@
         return self._budget.take(request.service)
 
     def _has_time(self, request: SteeredRequest) -> bool:
-        return request.deadline - self._clock.monotonic() > defaults.MIN_SEND_S
+        return request.deadline - self._clock.monotonic() > defaults.MIN_SEND_TIME_LEFT_S
 
     async def _send(self, request: SteeredRequest, place: "Place") -> ServerAnswer:
         """One send; the place is given back whatever happens.
@@ -259,7 +259,9 @@
                 self._pool.give(state.target, connection)
                 raise
         left = request.deadline - self._clock.monotonic()
-        objection = "late" if left < defaults.MIN_SEND_S else self._targets.objection(state)
+        objection = (
+            "late" if left < defaults.MIN_SEND_TIME_LEFT_S else self._targets.objection(state)
+        )
         if objection is not None:
             self._pool.give(state.target, connection)
             raise TargetNotRunError("not sent", reason=objection)
@@ -389,7 +391,7 @@
 
 def _quarantined() -> RefusedError:
     message = "targets ended each time that they began to run this request; it is sent to no more"
-    return RefusedError(message, defaults.QUARANTINE_COME_BACK_S, reason=QUARANTINED)
+    return RefusedError(message, defaults.QUARANTINE_RETRY_AFTER_S, reason=QUARANTINED)
 
 
 def _identity_of(request: SteeredRequest) -> t.Optional[bytes]:
--- a/src/coralfall/traffic/gossip.py
+++ b/src/coralfall/traffic/gossip.py
@@ -134,8 +134,8 @@
 
     def _pause_s(self) -> float:
         if self._exchange.state_view.has_rows:
-            return defaults.GOSSIP_S
-        return defaults.GOSSIP_START_S
+            return defaults.GOSSIP_INTERVAL_S
+        return defaults.GOSSIP_BOOTSTRAP_INTERVAL_S
 
     def pull(self, entry_id: "EntryId") -> None:
         """Ask an entry that knows more."""
@@ -146,7 +146,7 @@
     def push(self, state_since: "Revision", targets_since: "Revision") -> None:
         """Tell all live entries what came after these revisions."""
         news = self._exchange.news(state_since, targets_since)
-        turn = int(self._clock.monotonic() / defaults.RELAY_TURN_S)
+        turn = int(self._clock.monotonic() / defaults.RELAY_ROTATION_S)
         ordered = in_relay_order(
             self._members.alive_records(), self._members.own_record.entry_id, turn
         )
@@ -223,7 +223,7 @@
                 self._exchange.news(address=address, wants_rows=wants_rows),
                 GossipMessage,
                 defaults.GOSSIP_TIMEOUT_S,
-                kept_s=defaults.GOSSIP_KEPT_S,
+                kept_s=defaults.GOSSIP_REUSED_TIMEOUT_S,
             )
         finally:
             if pulling:
--- a/src/coralfall/traffic/leases.py
+++ b/src/coralfall/traffic/leases.py
@@ -46,7 +46,7 @@
 
     def seconds(self) -> float:
         """How long a lease lasts; longer in large fleets, so that owners are told as often."""
-        fleet = self._members.fleet_size() / defaults.QUOTA_LEASE_ENTRIES
+        fleet = self._members.fleet_size() / defaults.QUOTA_BASE_ENTRIES
         return defaults.QUOTA_LEASE_S * max(1.0, fleet)
 
     def may_use(self, slot: "Slot", owner_id: "EntryId") -> bool:
--- a/src/coralfall/traffic/lookup.py
+++ b/src/coralfall/traffic/lookup.py
@@ -86,7 +86,7 @@
     """
     in_zone = [record for record in records if record.zone == zone]
     beside = [record for record in records if record.region == region and record.zone != zone]
-    count = min(len(in_zone), defaults.LOOKUP_BESIDE - len(in_zone))
+    count = min(len(in_zone), defaults.LOOKUP_FILL_ADDRESSES - len(in_zone))
     beside = _in_order(zone, beside)[: max(_LEAST_OUTSIDE, count)]
     return _in_order(zone, in_zone) + beside
 
--- a/src/coralfall/traffic/members.py
+++ b/src/coralfall/traffic/members.py
@@ -59,10 +59,10 @@
     def start_round(self) -> None:
         """Look at the time, once a round; after a pause of this process, nobody dies of it."""
         now = self._clock.monotonic()
-        pause = now - self._looked_at - defaults.GOSSIP_S
+        pause = now - self._looked_at - defaults.GOSSIP_INTERVAL_S
         self._looked_at = now
-        self._busy = pause > defaults.GOSSIP_S * (defaults.BUSY_ROUNDS - 1)
-        if pause > defaults.ENTRY_SUSPECT_S / 2:
+        self._busy = pause > defaults.GOSSIP_INTERVAL_S * (defaults.BUSY_ROUND_FACTOR - 1)
+        if pause > defaults.SUSPICION_TIMEOUT_S / 2:
             log.warning("process.paused", seconds=round(pause, 3))
             self._excuse(now, pause)
             self.on_pause()
@@ -115,13 +115,16 @@
         An entry that is late itself blames nobody.
         """
         now = self._clock.monotonic()
-        if self._busy or now - self._looked_at > defaults.GOSSIP_S * defaults.BUSY_ROUNDS:
+        if (
+            self._busy
+            or now - self._looked_at > defaults.GOSSIP_INTERVAL_S * defaults.BUSY_ROUND_FACTOR
+        ):
             return
         for known in self._members_at(address):
             if known.suspected_at is not None:
                 continue
             known.misses += 1
-            if known.misses >= defaults.SUSPECT_MISSES:
+            if known.misses >= defaults.SUSPECT_MISSED_PROBES:
                 self._suspect(known, 0.0, "own")
                 self.on_update(False)
 
@@ -143,10 +146,10 @@
 
     def recent_records(self) -> "t.Tuple[EntryRecord, ...]":
         """The own record and the newest ones that are news still."""
-        since = self._clock.monotonic() - defaults.GOSSIP_NEWS_S
+        since = self._clock.monotonic() - defaults.GOSSIP_UPDATE_TTL_S
         found = [k for k in self._members_by_id.values() if k.learnt_at > since and k.heard]
         found.sort(key=lambda known: known.learnt_at, reverse=True)
-        newest = found[: defaults.GOSSIP_RECORDS]
+        newest = found[: defaults.MAX_GOSSIP_RECORDS]
         return (self.own_record, *[known.record for known in newest])
 
     def all_records(self) -> "t.Tuple[EntryRecord, ...]":
@@ -156,10 +159,10 @@
     def recent_suspicions(self) -> "t.Tuple[Suspicion, ...]":
         """Suspicions that are news still."""
         now = self._clock.monotonic()
-        since = now - defaults.GOSSIP_NEWS_S
+        since = now - defaults.GOSSIP_UPDATE_TTL_S
         found = [k for k in self._doubted() if k.suspected_at and k.suspected_at > since]
-        if len(found) > defaults.GOSSIP_SUSPICIONS:
-            found = self._rng.sample(found, defaults.GOSSIP_SUSPICIONS)
+        if len(found) > defaults.MAX_GOSSIP_SUSPICIONS:
+            found = self._rng.sample(found, defaults.MAX_GOSSIP_SUSPICIONS)
         return tuple([known.suspicion(now) for known in found])
 
     def suspicions_of(self, address: str) -> "t.Tuple[Suspicion, ...]":
@@ -246,14 +249,14 @@
         trusted = self._neighbours([known for known in living if known.suspected_at is None])
         # Where some were lost, others may have been lost with them.
         suspected = sum(known.suspected_at is not None for known in living)
-        count += min(suspected, defaults.MAX_EXTRA_ASKED)
+        count += min(suspected, defaults.MAX_EXTRA_PROBES)
         chosen = self._rng.sample(trusted, min(count, len(trusted)))
         missed = [k.record for k in living if k.misses and k.suspected_at is None]
-        chosen += [record for record in missed if record not in chosen][: defaults.MAX_EXTRA_ASKED]
+        chosen += [record for record in missed if record not in chosen][: defaults.MAX_EXTRA_PROBES]
         suspects = [known.record for known in living if known.suspected_at is not None]
         self._rng.shuffle(suspects)
-        for record in suspects[: defaults.MAX_SUSPECTS_ASKED]:
-            if self._rng.random() < defaults.SUSPECT_ASKERS / len(living):
+        for record in suspects[: defaults.MAX_SUSPECT_PROBES]:
+            if self._rng.random() < defaults.SUSPECT_PROBERS / len(living):
                 chosen.append(record)
         silent = [known.record for known in self._members_by_id.values() if not known.alive]
         if silent:
@@ -343,8 +346,8 @@
 
     def _patience(self) -> float:
         """Seconds in which a refutation comes, if there is one; more in a larger fleet."""
-        fourfolds = math.log(max(1.0, self.fleet_size() / defaults.SUSPECT_ENTRIES), 4)
-        return defaults.ENTRY_SUSPECT_S * (1 + defaults.SUSPECT_GROWTH * fourfolds)
+        fourfolds = math.log(max(1.0, self.fleet_size() / defaults.SUSPICION_ENTRIES), 4)
+        return defaults.SUSPICION_TIMEOUT_S * (1 + defaults.SUSPICION_GROWTH * fourfolds)
 
     def _note_all(self, some: "t.Iterable[Member]", now: float) -> None:
         """Log who came to life and who fell silent."""
@@ -373,7 +376,7 @@
     def _forget(self, now: float) -> None:
         for entry_id, known in list(self._members_by_id.items()):
             dead = not self._is_alive(known, now)
-            if dead and now - known.heard_at > defaults.ENTRY_FORGET_S:
+            if dead and now - known.heard_at > defaults.DEAD_ENTRY_RETENTION_S:
                 del self._members_by_id[entry_id]
                 self._unlist(known)
                 self._ids = self._present = None
--- a/src/coralfall/traffic/owners.py
+++ b/src/coralfall/traffic/owners.py
@@ -115,7 +115,7 @@
         owner.failures = 0
         owner.silent = closed
         if closed:
-            owner.avoid_until = owner.answered_at + defaults.QUOTA_AVOID_S
+            owner.avoid_until = owner.answered_at + defaults.QUOTA_OWNER_COOLDOWN_S
 
     def note_failure(self, owner: Owner, error: "PeerError") -> bool:
         """Take in that an owner gave no reply; whether its process has ended."""
@@ -123,7 +123,7 @@
         ended = isinstance(error.__cause__, ConnectionRefusedError)
         if ended or owner.failures > 1:
             owner.silent = True
-            owner.avoid_until = self._clock.monotonic() + defaults.QUOTA_AVOID_S
+            owner.avoid_until = self._clock.monotonic() + defaults.QUOTA_OWNER_COOLDOWN_S
         log.info(
             "quota.owner-silent",
             owner=owner.entry_id,
@@ -135,7 +135,7 @@
 
     def _is_answered(self) -> bool:
         """Whether any owner replied lately."""
-        since = self._clock.monotonic() - defaults.QUOTA_AVOID_S
+        since = self._clock.monotonic() - defaults.QUOTA_OWNER_COOLDOWN_S
         return any(owner.answered_at > since for owner in self.by_id.values())
 
     def _forget(self, serving: "t.Sequence[EntryRecord]") -> None:
@@ -154,7 +154,7 @@
             by_region.setdefault(record.region, []).append(record)
         chosen: _ByRegion = {}
         for region, records in by_region.items():
-            count = max(_LEAST_OWNERS, len(records) // defaults.QUOTA_ENTRIES_AN_OWNER)
+            count = max(_LEAST_OWNERS, len(records) // defaults.QUOTA_ENTRIES_PER_OWNER)
             chosen[region] = [record.entry_id for record in records[:count]]
             for record in records[:count]:
                 if record.entry_id != self._members.own_record.entry_id:
--- a/src/coralfall/traffic/pace.py
+++ b/src/coralfall/traffic/pace.py
@@ -36,10 +36,10 @@
 
 def pace_of(bound_s: float) -> Pace:
     """The pace for a bound on the time from the store's word until it is in force."""
-    part = min(1.0, max(_LEAST_PART, bound_s / defaults.PACED_BOUND_S))
+    part = min(1.0, max(_LEAST_PART, bound_s / defaults.PACE_REFERENCE_BOUND_S))
     return Pace(
-        defaults.READ_INTERVAL_S * part,
-        defaults.READ_STALE_S * part,
-        defaults.READ_RANK_S * part,
-        defaults.MAX_READ_RANK_S * part,
+        defaults.STORE_READ_INTERVAL_S * part,
+        defaults.STORE_READ_STALE_S * part,
+        defaults.STORE_READ_RANK_DELAY_S * part,
+        defaults.MAX_STORE_READ_RANK_DELAY_S * part,
     )
--- a/src/coralfall/traffic/permits.py
+++ b/src/coralfall/traffic/permits.py
@@ -102,7 +102,7 @@
                 if slots:
                     self._renew(slots)
                     self._ledger.tick()
-                await asyncio.sleep(defaults.QUOTA_ROUND_S)
+                await asyncio.sleep(defaults.QUOTA_RENEW_INTERVAL_S)
         finally:
             for task in self._tasks:
                 task.cancel()
@@ -126,7 +126,7 @@
         try:
             for owner_id in tuple(self.owners.of(slot_of(key))):
                 self._ask_one(owner_id, acquisition)
-                await acquisition.wait(defaults.QUOTA_HEDGE_S)
+                await acquisition.wait(defaults.QUOTA_HEDGE_DELAY_S)
                 if acquisition.granted is not None or acquisition.known_part() >= enough_part:
                     return acquisition
             await acquisition.wait(until - self._clock.monotonic())
@@ -226,7 +226,7 @@
         request = self._request(owner, tuple(wants))
         try:
             reply = await self._links.exchange(
-                owner.address, request, PermitReply, defaults.QUOTA_ASK_S, owner.entry_id
+                owner.address, request, PermitReply, defaults.QUOTA_TIMEOUT_S, owner.entry_id
             )
         except PeerError as error:
             if self.owners.note_failure(owner, error):
@@ -288,7 +288,7 @@
         own_id = self._members.own_record.entry_id
         first_by_slot = {slot: owners[0] for slot in slots if (owners := self.owners.of(slot))}
         self._leases.keep([slot for slot, first in first_by_slot.items() if first == own_id])
-        due = now - self._leases.seconds() * defaults.QUOTA_RENEW_PART
+        due = now - self._leases.seconds() * defaults.QUOTA_RENEW_FRACTION
         needed = set(first_by_slot.values())
         for owner in list(self.owners.by_id.values()):
             if owner.silent:
--- a/src/coralfall/traffic/pool.py
+++ b/src/coralfall/traffic/pool.py
@@ -198,7 +198,7 @@
 
 
 def _is_old(connection: ServerConnection, now: float) -> bool:
-    most = defaults.TARGET_IDLE_S
+    most = defaults.TARGET_IDLE_TIMEOUT_S
     if connection.keep_s is not None:
         most = min(most, connection.keep_s / 2)
     return now - connection.used_at > most
--- a/src/coralfall/traffic/quotas.py
+++ b/src/coralfall/traffic/quotas.py
@@ -79,10 +79,10 @@
         backoff = self._over.get(tenant.tenant_id)
         if backoff is not None and now < backoff.until:
             raise _over_limit(tenant, backoff.answer, now)
-        answer = await self._ask(tenant, limit, now + defaults.QUOTA_PATIENCE_S)
+        answer = await self._ask(tenant, limit, now + defaults.QUOTA_WAIT_TIMEOUT_S)
         if answer.grant.count:
             return answer.owner_id
-        backoff_s = min(answer.grant.wait_s, defaults.QUOTA_REST_S)
+        backoff_s = min(answer.grant.wait_s, defaults.MAX_QUOTA_REJECT_S)
         self._over[tenant.tenant_id] = _Backoff(answer.at + backoff_s, answer)
         raise _over_limit(tenant, answer, answer.at)
 
@@ -112,10 +112,10 @@
             answer = _final(acquisition)
             if answer is not None:
                 return answer
-            if self._clock.monotonic() + defaults.QUOTA_ROUND_S >= until:
+            if self._clock.monotonic() + defaults.QUOTA_RENEW_INTERVAL_S >= until:
                 message = f"too few of those who count for {tenant.tenant_id} could be asked"
-                raise RefusedError(message, defaults.QUOTA_ASK_S, reason=NO_OWNER)
-            await asyncio.sleep(defaults.QUOTA_ROUND_S)
+                raise RefusedError(message, defaults.QUOTA_TIMEOUT_S, reason=NO_OWNER)
+            await asyncio.sleep(defaults.QUOTA_RENEW_INTERVAL_S)
 
 
 def _final(acquisition: "Acquisition") -> "t.Optional[Answer]":
--- a/src/coralfall/traffic/registry.py
+++ b/src/coralfall/traffic/registry.py
@@ -90,7 +90,7 @@
     async def run(self) -> None:
         """Reconcile now and then, for ever."""
         while True:
-            await asyncio.sleep(defaults.RECONCILE_S * self._rng.uniform(0.8, 1.2))
+            await asyncio.sleep(defaults.RECONCILE_INTERVAL_S * self._rng.uniform(0.8, 1.2))
             try:
                 await self.reconcile()
             except PlatformError as error:
@@ -123,7 +123,7 @@
         if self._strange:
             log.info("entries.met", keys=",".join(self._strange))
         writes += self._missing({row.key for row in rows})
-        await self._write(writes[: defaults.RECONCILE_ROWS])
+        await self._write(writes[: defaults.MAX_RECONCILE_ROWS])
 
     async def _write(self, writes: t.Sequence[Write]) -> None:
         if not writes:
--- a/src/coralfall/traffic/settings.py
+++ b/src/coralfall/traffic/settings.py
@@ -67,16 +67,16 @@
 
     def shutdown_serve_s(self) -> float:
         """Seconds for which a stopping entry still takes what callers send to it."""
-        return min(defaults.LEAVE_S, self.grace_s * defaults.LEAVE_PART)
+        return min(defaults.SHUTDOWN_ACCEPT_S, self.grace_s * defaults.SHUTDOWN_ACCEPT_FRACTION)
 
     def lookup_ttl_s(self) -> float:
         """Seconds for which callers may keep an answer to a look-up; a stop waits for them."""
-        kept_s = self.shutdown_serve_s() / defaults.LOOKUP_KEPT
-        return min(defaults.STEER_TTL_S, self.max_ttl_s, kept_s)
+        kept_s = self.shutdown_serve_s() / defaults.LOOKUP_TTL_OVERRUN_FACTOR
+        return min(defaults.STEER_LOOKUP_TTL_S, self.max_ttl_s, kept_s)
 
     def home_shift_per_s(self) -> float:
         """Part of a region's objects that may change its home region in a second."""
-        return self.max_shift * defaults.SHIFT_USED / defaults.SHIFT_WINDOW_S
+        return self.max_shift * defaults.SHIFT_BUDGET_FRACTION / defaults.SHIFT_WINDOW_S
 
 
 class SteerSettings(Settings, frozen=True, kw_only=True):
@@ -131,11 +131,11 @@
         """Seconds for which a start waits for the rows that seeds read; 0 for a seed itself."""
         if not self.first_start or not self.seeds or self.peer_address in self.seeds:
             return 0.0
-        return defaults.FIRST_START_S
+        return defaults.FIRST_START_SEED_WAIT_S
 
     def max_caller_connections(self) -> int:
         """How many connections of callers are kept open, so that some are left for targets."""
-        free = (self.max_files - defaults.RESERVED_FILES) * defaults.CALLER_FILES
+        free = (self.max_files - defaults.RESERVED_FILES) * defaults.CALLER_FILES_FRACTION
         most = int(min(defaults.MAX_CALLER_CONNECTIONS, free))
         return max(defaults.MIN_CALLER_CONNECTIONS, most)
 
--- a/src/coralfall/traffic/state_view.py
+++ b/src/coralfall/traffic/state_view.py
@@ -92,9 +92,9 @@
         Targets that could not reach the store meanwhile lose their rows, and write them again
         soon after; those that are missing are used for a little longer.
         """
-        if age_s < defaults.OUTAGE_S or not self.target_rows.is_loaded:
+        if age_s < defaults.STORE_OUTAGE_S or not self.target_rows.is_loaded:
             return
-        self._linger_until = self._clock.monotonic() + defaults.RETURN_GRACE_S
+        self._linger_until = self._clock.monotonic() + defaults.MISSING_TARGET_GRACE_S
 
     def apply_state_changes(self, keys: t.Set[str]) -> None:
         """Act on state rows that changed."""
--- a/src/coralfall/traffic/target_permits.py
+++ b/src/coralfall/traffic/target_permits.py
@@ -100,7 +100,7 @@
         if limit is None or not self.is_needed(target):
             return None
         key = key_of(target.target_id, self._region_of(target))
-        until = min(until, self._clock.monotonic() + defaults.QUOTA_HEDGE_S)
+        until = min(until, self._clock.monotonic() + defaults.QUOTA_HEDGE_DELAY_S)
         # A target serves objects that it knows several times faster, and what it learns in their
         # place is of no use once its tokens go to others.
         acquisition = await self._permits.acquire(
@@ -110,7 +110,7 @@
             return TargetPermit(key, limit, acquisition.granted.owner_id)
         self.limits.exhaust(target, _backoff_s(acquisition), known)
         message = f"target {target.target_id} allows {limit.rate_per_s:g} requests/s in all"
-        wait_s = max(self.limits.wait_s(target, known), defaults.COME_BACK_S)
+        wait_s = max(self.limits.wait_s(target, known), defaults.STEER_RETRY_AFTER_S)
         raise TargetNotRunError(message, reason=LIMITED, come_back_s=wait_s)
 
     def give_back(self, permit: t.Optional[TargetPermit]) -> None:
--- a/src/coralfall/traffic/tenants.py
+++ b/src/coralfall/traffic/tenants.py
@@ -76,7 +76,7 @@
             return tenant
         if self._state_view.state_age_s() > self.bounds.config_s:
             message = "the key is not known here, where the desired state may be behind"
-            raise RefusedError(message, defaults.COME_BACK_S, reason=STATE_OLD)
+            raise RefusedError(message, defaults.STEER_RETRY_AFTER_S, reason=STATE_OLD)
         raise RequestError(UNKNOWN_KEY, 401, "the key belongs to no tenant")
 
 
@@ -93,4 +93,4 @@
     if common:
         return common
     message = f"no region may serve {tenant.tenant_id} on route {route.route_id}"
-    raise RefusedError(message, defaults.COME_BACK_S, reason=NO_REGION)
+    raise RefusedError(message, defaults.STEER_RETRY_AFTER_S, reason=NO_REGION)
--- a/tests/balancing/test_handover.py
+++ b/tests/balancing/test_handover.py
@@ -106,7 +106,7 @@
         [
             ("nobody_acked", [], {}),
             ("early_ack", [(2, "b", 2)], {5.5: "b"}),
-            ("late_ack", [(20, "b", 2)], {defaults.LOAN_S + 1 + MARGIN_S: "b"}),
+            ("late_ack", [(20, "b", 2)], {defaults.LOAN_TTL_S + 1 + MARGIN_S: "b"}),
             ("ack_of_older_roster", [(20, "b", 1)], {}),
             ("ack_of_newer_roster", [(20, "b", 3)], {}),
             ("ack_of_other_life", [(20, "b", 2, 7)], {}),
--- a/tests/balancing/test_lending.py
+++ b/tests/balancing/test_lending.py
@@ -26,7 +26,7 @@
 
 SERVICE = ServiceId("pedidos")
 OWNER, BORROWER = EntryId("a"), EntryId("b")
-HELD_S = defaults.LOAN_S + 1 + MARGIN_S
+HELD_S = defaults.LOAN_TTL_S + 1 + MARGIN_S
 
 
 class LoanTest(unittest.TestCase):
@@ -71,11 +71,11 @@
     def test_lent_slot_has_one_user(self) -> None:
         self._borrow()
         self.assertEqual(self._free(), (SLOTS - 2, 2))
-        self.clock.advance(defaults.LOAN_S - 0.1)
+        self.clock.advance(defaults.LOAN_TTL_S - 0.1)
         self.assertEqual(self._free(), (SLOTS - 2, 2))
         self.clock.advance(0.1)
         self.assertEqual(self._free(), (SLOTS - 2, 0))
-        self.clock.advance(HELD_S - defaults.LOAN_S - 0.1)
+        self.clock.advance(HELD_S - defaults.LOAN_TTL_S - 0.1)
         self.assertEqual(self._free(), (SLOTS - 2, 0))
         self.clock.advance(0.1)
         self.assertEqual((self._free(), self.lender.lent()), ((SLOTS, 0), 0))
@@ -95,7 +95,7 @@
     def test_late_answer_is_given_back_unused(self) -> None:
         ask = self._ask()
         answer = self.lender.answer(BORROWER, ask.request)
-        self.clock.advance(defaults.LOAN_S)
+        self.clock.advance(defaults.LOAN_TTL_S)
         self._deliver(self.borrower.answered(ask, answer))
         self.assertEqual(self._free(), (SLOTS, 0))
 
@@ -103,10 +103,10 @@
         self._borrow()
         slot = self.used.acquire_any([T0])
         assert slot is not None
-        self.clock.advance(defaults.LOAN_IDLE_S)
+        self.clock.advance(defaults.LOAN_IDLE_TIMEOUT_S)
         self._deliver(self.borrower.due_returns())
         self.assertEqual((self._free(), self.borrower.borrowed()), ((SLOTS - 1, 0), 1))
-        self.clock.advance(defaults.LOAN_S)
+        self.clock.advance(defaults.LOAN_TTL_S)
         self.assertEqual(self.borrower.due_returns(), [])
         self.used.release(slot)
         self._deliver(self.borrower.due_returns())
@@ -130,7 +130,7 @@
 
     @parameterized.expand(
         [
-            ("whole", 1.0, defaults.LOAN_S),
+            ("whole", 1.0, defaults.LOAN_TTL_S),
             ("cut_to_the_lease", 5.0, 1.0),
             ("too_short", 5.9, 0.0),
             ("lapsed", 7.0, 0.0),
@@ -184,7 +184,7 @@
             asks.append(ask)
             self.assertIsNone(self.borrower.ask(SERVICE, count))
         self.assertEqual([ask.request.count for ask in asks], [2, 3, 4, 5])
-        self.assertEqual(len(asks), defaults.MAX_LOAN_ASKS)
+        self.assertEqual(len(asks), defaults.MAX_LOAN_REQUESTS)
         self.assertIsNone(self.borrower.ask(SERVICE, 99))
         self.borrower.failed(asks[0])
         self.assertEqual(self.borrower.ask(SERVICE, 99).request.count, 16)  # type: ignore[union-attr]
@@ -223,7 +223,7 @@
             while again is None:
                 self.clock.advance(0.01)
                 again = self.borrower.ask(SERVICE, 1)
-            waits.append(round((self.clock.now - started) / defaults.LOAN_REFUSED_S))
+            waits.append(round((self.clock.now - started) / defaults.LOAN_BACKOFF_S))
             self.borrower.failed(again)
         self.assertEqual(waits, [1, 2, 4, 8, 8])
 
--- a/tests/balancing/test_queue.py
+++ b/tests/balancing/test_queue.py
@@ -15,7 +15,7 @@
 from coralfall.bundles.rollout import PartnerRollout
 from coralfall.cluster.lease import Lease
 from coralfall.cluster.roster import Roster
-from coralfall.defaults import CANCEL_REST_S
+from coralfall.defaults import SLOT_CANCEL_COOLDOWN_S
 from coralfall.exceptions import RefusedError
 from coralfall.ids import BundleVersion, Digest, EntryId, RegionId, ServiceId
 from coralfall.process.clock import ManualClock, PlatformClock
@@ -121,7 +121,7 @@
         ):
             self.steering.finish(self.held[0], result, 0.1, None)
         self.assertEqual(self.steering.served.drains.in_flight(self.held[0].target_id), 2 - at_once)
-        self.assertEqual([entry[0] for entry in later], [] if at_once else [CANCEL_REST_S])
+        self.assertEqual([entry[0] for entry in later], [] if at_once else [SLOT_CANCEL_COOLDOWN_S])
         for _, work, *args in later:
             work(*args)
         self.assertEqual(self.steering.served.drains.in_flight(self.held[0].target_id), 1)
--- a/tests/control_fleet.py
+++ b/tests/control_fleet.py
@@ -44,7 +44,7 @@
 from tests.virtual_loop import LoopClock
 
 LEASE = LeaseSettings(ttl_s=6.0, renew_s=2.0, poll_s=1.0, vm_list_s=2.0)
-HEARTBEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 #: Seconds in which nodes that are started together have all joined.
 JOIN_S = 5.0
 TRUST = {operators.COSECHA: operators.COSECHA_KEYS}
@@ -246,7 +246,7 @@
         while True:
             self._exchange()
             try:
-                async with asyncio.timeout(HEARTBEAT_S * self.world.rng.uniform(0.9, 1.1)):
+                async with asyncio.timeout(HEARTBEAT_INTERVAL_S * self.world.rng.uniform(0.9, 1.1)):
                     await self._news.wait()
             except TimeoutError:
                 continue
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -171,7 +171,7 @@
         lives = [(member.entry_id, member.incarnation) for member in self.members().values()]
         if self.staged and all(self.staged_by_life.get(life) == self.staged for life in lives):
             old = BUNDLE_BY_VERSION[self.accepted].services[SERVICE].timeout_ms / 1000
-            self.lasts_until[self.accepted] = self.now + old + defaults.LOAN_S
+            self.lasts_until[self.accepted] = self.now + old + defaults.LOAN_TTL_S
             self.accepted, self.staged = self.staged, None
 
     def naive(self) -> NaiveAllocator:
--- a/tests/idempotency/test_claims.py
+++ b/tests/idempotency/test_claims.py
@@ -219,7 +219,7 @@
         held = await claim(fleet.a)
         fleet.fates = [Fate.LATE]
         await fleet.a.release(held)
-        await asyncio.sleep(defaults.CLAIM_SETTLE_S + 0.01)
+        await asyncio.sleep(defaults.CLAIM_BATCH_DELAY_S + 0.01)
         self.assertEqual(fleet.fates, [])
         self.assertEqual(await outcome(fleet.a), Claim)
         await asyncio.sleep(LONG_S)
@@ -261,7 +261,7 @@
         slow = ServiceFault(mode=FaultMode.SLOW, delay_s=30)
         fleet.memory.set_faults(Faults(table=slow))
         self.assertEqual(await outcome(fleet.a), RefusedError)
-        self.assertLess(asyncio.get_running_loop().time(), 2 * defaults.CLAIM_WAIT_S)
+        self.assertLess(asyncio.get_running_loop().time(), 2 * defaults.CLAIM_TIMEOUT_S)
         fleet.memory.set_faults(Faults())
         await asyncio.sleep(LONG_S)
         self.assertEqual(await fleet.state(), ClaimState.RELEASED)
@@ -340,7 +340,7 @@
         await asyncio.gather(*[claim(fleet.a, key=name) for name in names])
         self.assertEqual(await outcome(fleet.a), RefusedError)
 
-    @parameterized.expand([(1, defaults.CLAIM_INTERVAL_S), (12, 0.04), (530, 0.5)])
+    @parameterized.expand([(1, defaults.CLAIM_MIN_INTERVAL_S), (12, 0.04), (530, 0.5)])
     @with_fleet
     async def test_transactions_keep_their_distance(
         self, fleet: Fleet, entries: int, interval_s: float
@@ -356,8 +356,8 @@
 class TestKeptAnswers(unittest.TestCase):
     @parameterized.expand(
         [
-            (defaults.MAX_KEPT_ANSWER_BYTES, True),
-            (defaults.MAX_KEPT_ANSWER_BYTES + 1, False),
+            (defaults.MAX_STORED_ANSWER_BYTES, True),
+            (defaults.MAX_STORED_ANSWER_BYTES + 1, False),
         ]
     )
     @with_fleet
@@ -371,8 +371,8 @@
 
     @with_fleet
     async def test_waiting_bodies_are_bounded(self, fleet: Fleet) -> None:
-        body = b"x" * defaults.MAX_KEPT_ANSWER_BYTES
-        most = defaults.MAX_WAITING_ANSWER_BYTES // len(body)
+        body = b"x" * defaults.MAX_STORED_ANSWER_BYTES
+        most = defaults.MAX_PENDING_ANSWER_BYTES // len(body)
         names = [f"key-{number}" for number in range(most + 10)]
         claims = await asyncio.gather(*[claim(fleet.a, key=name) for name in names])
         fleet.down()
--- a/tests/lookups/test_lookup.py
+++ b/tests/lookups/test_lookup.py
@@ -158,7 +158,7 @@
             self.assertEqual(suitable, set())
             return
         names = [EntryId(entry.partition(":")[0]) for entry in answer.entries]
-        self.assertEqual(len(names), min(len(suitable), defaults.LOOKUP_ENTRIES))
+        self.assertEqual(len(names), min(len(suitable), defaults.MAX_LOOKUP_ENTRIES))
         self.assertEqual(len(set(names)), len(names))
         self.assertLessEqual(set(names), suitable)
         assert answer.site is not None
--- a/tests/mixed_builds/steer.py
+++ b/tests/mixed_builds/steer.py
@@ -116,7 +116,7 @@
     async def logged() -> bool:
         return bool(_lines(entry, *parts))
 
-    await all_of.until(f"{entry.name} logs {' '.join(parts)}", logged)
+    await all_of.wait_until(f"{entry.name} logs {' '.join(parts)}", logged)
 
 
 def _expect(holds: bool, otherwise: t.Any) -> None:
@@ -131,7 +131,7 @@
     async def both_ask() -> bool:
         for number in range(len(_TENANTS)):
             for entry in all_of.entries:
-                await all_of.ask(entry, key=f"sesame-{number}")
+                await all_of.request(entry, key=f"sesame-{number}")
         asked = [
             _lines(entry, "reason=over-limit", f"quota={owner.name}:")
             for entry, owner in ((first, second), (second, first))
@@ -139,12 +139,12 @@
         return all(asked)
 
     # An entry that started alone counts for all tenants for a while.
-    await all_of.until("each entry asks the other one", both_ask)
+    await all_of.wait_until("each entry asks the other one", both_ask)
     served = dict.fromkeys(range(len(_TENANTS)), 0)
     for number in served:
         for turn in range(_ASKED):
             entry = all_of.entries[turn % 2]
-            status, _, _ = await all_of.ask(entry, key=f"sesame-{number}")
+            status, _, _ = await all_of.request(entry, key=f"sesame-{number}")
             served[number] += status == 200
             _expect(status in (200, 429), f"{entry.name} answered {status}")
     _expect(max(served.values()) <= _MOST_SERVED, f"served of each tenant: {served}")
@@ -164,9 +164,9 @@
     _expect(b"coralfall_targets_limited 1.0" in text, "the metric does not show the limit")
     callers = Callers(all_of, all_of.entries)
     await callers.send(_WINDOW_S)
-    before = len(home.ran)
+    before = len(home.executed_ids)
     await callers.send(_WINDOW_S)
-    came = [request_id.partition("-")[0] for request_id in home.ran[before:]]
+    came = [request_id.partition("-")[0] for request_id in home.executed_ids[before:]]
     sent = {entry.name: came.count(entry.name) for entry in all_of.entries}
     _expect(all(sent.values()) and len(came) <= _MOST_SENT, f"sent in a window: {sent}")
     _expect(set(callers.statuses) == {200}, f"statuses {set(callers.statuses)}")
@@ -181,10 +181,13 @@
     await Callers(all_of, [teller]).send(0.5)
     leaving = ("event=target.leaving", f"target={home.instance_id}", "evidence=told")
     await _until_line(all_of, listener, *leaving)
-    before = len(home.ran)
+    before = len(home.executed_ids)
     callers = Callers(all_of, all_of.entries)
     await callers.send(1.0)
-    _expect(home.ran[before:] == [], f"sent to the leaving target: {home.ran[before:]}")
+    _expect(
+        home.executed_ids[before:] == [],
+        f"sent to the leaving target: {home.executed_ids[before:]}",
+    )
     _expect(set(callers.statuses) == {200}, f"statuses {set(callers.statuses)}")
 
 
@@ -193,7 +196,7 @@
     teller, listener = all_of.entries
     home = await home_of(Callers(all_of, all_of.entries), instances)
     home.cooldown_s = _COOLDOWN_S
-    before = len(home.reached_by)
+    before = len(home.received_ids)
     teller_callers = Callers(all_of, [teller])
     await teller_callers.send(_COOLDOWN_S / 2)
     cooldown = ("event=target.cooldown", f"target={home.instance_id}")
@@ -202,7 +205,7 @@
     listener_callers = Callers(all_of, [listener])
     await listener_callers.send(_COOLDOWN_S / 2)
     await _until_line(all_of, listener, *cooldown)
-    came = [request_id.partition("-")[0] for request_id in home.reached_by[before:]]
+    came = [request_id.partition("-")[0] for request_id in home.received_ids[before:]]
     sent = {entry.name: came.count(entry.name) for entry in all_of.entries}
     _expect(min(sent.values()) > 0 and max(sent.values()) <= _MOST_IN_COOLDOWN, f"sent: {sent}")
     statuses = {*teller_callers.statuses, *listener_callers.statuses}
@@ -218,7 +221,7 @@
             await _until_line(all_of, entry, "event=request.quarantined")
         before = scene.arrivals_since(0.0)
         for entry in all_of.entries[1::2]:
-            _, _, request_id = await all_of.ask(entry, PATH, DEADLY)
+            _, _, request_id = await all_of.request(entry, PATH, DEADLY)
             await _until_line(all_of, entry, f"id={request_id}", "reason=quarantined")
         _expect(scene.arrivals_since(0.0) == before, "the request reached a target")
     finally:
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -188,7 +188,7 @@
 
     def on_loan_request(self, peer: Hello, request: t.Any) -> LoanAnswer:
         self.loans.append((peer.entry_id, request))
-        return LoanAnswer(loan_id=len(self.loans), slots=(), seconds=defaults.LOAN_S)
+        return LoanAnswer(loan_id=len(self.loans), slots=(), seconds=defaults.LOAN_TTL_S)
 
     def on_loan_return(self, peer: Hello, loan: t.Any) -> None:
         self.loans.append((peer.entry_id, loan))
--- a/tests/peering/test_gossip.py
+++ b/tests/peering/test_gossip.py
@@ -26,7 +26,7 @@
 
 
 class LagTestCase(unittest.TestCase):
-    SILENT = defaults.PEER_ROSTER_AGE_S
+    SILENT = defaults.PEER_ROSTER_FALLBACK_S
 
     @parameterized.expand(
         [
--- a/tests/peering/test_peers.py
+++ b/tests/peering/test_peers.py
@@ -144,7 +144,7 @@
         await fleet.talk()
         await until(lambda: len(behind.heard) > 20)
         self.assertEqual(behind.synced, [])
-        behind.platform_age_s = defaults.PEER_ROSTER_AGE_S
+        behind.platform_age_s = defaults.PEER_ROSTER_FALLBACK_S
         await until(lambda: behind.roster_revision == ahead.roster_revision)
         self.assertEqual(behind.roster, ahead.roster)
 
@@ -162,7 +162,9 @@
 
 
 class RoundTestCase(FleetCase):
-    @parameterized.expand([("quiet", 0.0, 1), ("platform_silent", defaults.PEER_ROSTER_AGE_S, 3)])
+    @parameterized.expand(
+        [("quiet", 0.0, 1), ("platform_silent", defaults.PEER_ROSTER_FALLBACK_S, 3)]
+    )
     async def test_peers_of_a_round(self, _, age_s, expected) -> None:
         node = self.fresh_node(age_s)
         self.assertEqual(self.peers_of_round(node), expected)
--- a/tests/platform_adapter/standins.py
+++ b/tests/platform_adapter/standins.py
@@ -25,8 +25,8 @@
 
     def __init__(self) -> None:
         self.mode = "ok"
-        self.ver = 0
-        self.kept_from = 0
+        self.revision = 0
+        self.oldest_revision = 0
         #: Callers' addresses whose connections are open and take nothing in any more.
         self._silenced: t.Set[t.Any] = set()
         self._callers: t.Set[t.Any] = set()
@@ -63,9 +63,9 @@
             [key for (name, _, key), row in self._rows.items() if name == table and "value" in row]
         )
 
-    def forget(self) -> None:
+    def drop_history(self) -> None:
         """Drop all history."""
-        self.kept_from = self.ver
+        self.oldest_revision = self.revision
 
     def silence_open_connections(self) -> None:
         """Answer nothing on the connections that are open now; new ones work."""
@@ -124,7 +124,7 @@
 
     async def _feed(self, query: t.Dict[str, str], send: "Send") -> None:
         after = int(query["after"])
-        if after < self.kept_from:
+        if after < self.oldest_revision:
             await _answer(send, 410, {})
             return
         rows = self._after(query["table"], after)
@@ -146,16 +146,16 @@
         return sorted(rows, key=lambda row: row["ver"])
 
     def _apply(self, puts: t.List[t.Dict[str, t.Any]], removes: t.List[t.Dict[str, t.Any]]) -> None:
-        self.ver += 1
+        self.revision += 1
         for row in puts:
-            self._rows[_key_of(row)] = {**row, "ver": self.ver}
+            self._rows[_key_of(row)] = {**row, "ver": self.revision}
         for row in removes:
-            self._rows[_key_of(row)] = {**row, "ver": self.ver, "deleted": True}
+            self._rows[_key_of(row)] = {**row, "ver": self.revision, "deleted": True}
         self._changed.set()
 
     def _stamp(self) -> t.Dict[str, t.Any]:
         # Some clock that only rises; it need not show what anybody else's shows.
-        return {"ver": self.ver, "nowS": time.monotonic() + 1000.0}
+        return {"ver": self.revision, "nowS": time.monotonic() + 1000.0}
 
 
 def _key_of(row: t.Dict[str, t.Any]) -> RowKey:
@@ -192,12 +192,12 @@
     def __init__(self, instance_id: str) -> None:
         super().__init__(self._run)
         self.instance_id = instance_id
-        self.ran: t.List[str] = []
+        self.executed_ids: t.List[str] = []
         #: When each request came, and their ids.
-        self.reached_at: t.List[float] = []
-        self.reached_by: t.List[str] = []
+        self.received_at: t.List[float] = []
+        self.received_ids: t.List[str] = []
         #: Seconds that a request takes.
-        self.work_s = 0.0
+        self.service_time_s = 0.0
         #: Requests a second that it takes from all entries together, as its answers name them.
         self.limit_per_s: t.Optional[float] = None
         #: Whether its answers say that it leaves.
@@ -219,8 +219,8 @@
             await turn.answer(421, b"", x_response_signature="")
             return
         request_id = turn.header("x-request-id") or ""
-        self.reached_at.append(time.monotonic())
-        self.reached_by.append(request_id)
+        self.received_at.append(time.monotonic())
+        self.received_ids.append(request_id)
         fields = {
             "x_server_load": "1,0,6",
             "server_limit": "" if self.limit_per_s is None else f"{self.limit_per_s:g}",
@@ -230,8 +230,8 @@
             fields["retry_after"] = f"{self.cooldown_s:g}"
             await turn.answer(503, b"", x_not_executed="1", x_response_signature="", **fields)
             return
-        self.ran.append(request_id)
-        await asyncio.sleep(self.work_s)
+        self.executed_ids.append(request_id)
+        await asyncio.sleep(self.service_time_s)
         await turn.answer(200, turn.body or b"read", **fields)
 
 
--- a/tests/platform_adapter/test_adapter.py
+++ b/tests/platform_adapter/test_adapter.py
@@ -368,7 +368,7 @@
             connection.abort()
             return told
 
-        self.assertEqual(defaults.UNACKNOWLEDGED_S * 1000, with_store(work))
+        self.assertEqual(defaults.TCP_USER_TIMEOUT_S * 1000, with_store(work))
 
 
 class StoreTest(unittest.TestCase):
@@ -431,7 +431,7 @@
         async def work(standin: StoreStandin, store: RowStore) -> None:
             standin.put("op", "config", config(1))
             standin.put("op", "config", config(2))
-            standin.forget()
+            standin.drop_history()
             await store.follow("op/", Revision(1), 0.0)
 
         with self.assertRaises(HistoryLostError):
--- a/tests/platform_adapter/test_crashing_request.py
+++ b/tests/platform_adapter/test_crashing_request.py
@@ -67,7 +67,7 @@
             await super()._run(turn)
             return
         self.arrived_at.append(time.monotonic())
-        await asyncio.sleep(self.work_s)
+        await asyncio.sleep(self.service_time_s)
         if self.listening:
             self.ended_at.append(time.monotonic())
             self._restarts.add(asyncio.create_task(self._restart()))
@@ -82,7 +82,7 @@
         self.register()
 
 
-class Scene:
+class Scenario:
     """Entries, targets, and the callers of the deadly request and of others."""
 
     def __init__(self, installation: Installation, targets: t.Sequence[MortalInstance]) -> None:
@@ -104,7 +104,7 @@
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             entry = entries[next(self._turns) % len(entries)]
-            ask = self.installation.ask(entry, PATH, DEADLY)
+            ask = self.installation.request(entry, PATH, DEADLY)
             self._asked.add(asyncio.create_task(ask))
             await asyncio.sleep(_EVERY_S)
 
@@ -115,39 +115,41 @@
         return self.ended()[count - 1]
 
     async def served(self, entry: EntryProcess, path: str, body: bytes) -> bool:
-        return (await self.installation.ask(entry, path, body))[:2] == (200, body)
+        return (await self.installation.request(entry, path, body))[:2] == (200, body)
 
 
 class CrashingRequestTest(unittest.TestCase):
     def test_it_reaches_few_targets_once_it_has_ended_three(self) -> None:
         """At all entries: one that stood still meanwhile, and one that was killed, know it, too."""
 
-        async def scene(scene: Scene) -> None:
-            entries = scene.installation.entries
+        async def scenario(scenario: Scenario) -> None:
+            entries = scenario.installation.entries
             *others, still = entries
             still.signal(signal.SIGSTOP)
-            third_at = await scene.until_ended(others, 3)
+            third_at = await scenario.until_ended(others, 3)
             still.signal(signal.SIGCONT)
             killed = entries[0]
             killed.signal(signal.SIGKILL)
-            await killed.ended()
+            await killed.wait_ended()
             killed.start()
-            await scene.installation.until_ready(killed)
+            await scenario.installation.wait_until_ready(killed)
             known_at = time.monotonic() + STABLE_S
-            await scene.send_deadly(others[1:], STABLE_S)
-            await scene.send_deadly(entries, _LATER_S)
-            later = scene.arrivals_since(max(third_at + STABLE_S, known_at))
+            await scenario.send_deadly(others[1:], STABLE_S)
+            await scenario.send_deadly(entries, _LATER_S)
+            later = scenario.arrivals_since(max(third_at + STABLE_S, known_at))
             self.assertLessEqual(later, MOST_LATER)
             for entry in entries:
                 for path, body in ((PATH, b"another"), ("/p/17/other", DEADLY[:-1])):
-                    await scene.installation.until(
+                    await scenario.installation.wait_until(
                         f"{entry.name} serves another request",
-                        lambda entry=entry, path=path, body=body: scene.served(entry, path, body),
+                        lambda entry=entry, path=path, body=body: scenario.served(
+                            entry, path, body
+                        ),
                     )
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def play(self, scene: t.Callable[[Scene], t.Awaitable[None]]) -> None:
+    def run_scenario(self, scenario: t.Callable[[Scenario], t.Awaitable[None]]) -> None:
         async def main() -> None:
             with tempfile.TemporaryDirectory() as folder:
                 async with StoreStandin() as store:
@@ -156,13 +158,13 @@
                         for number in range(_TARGETS)
                     ]
                     for target in targets:
-                        target.work_s = 0.05
+                        target.service_time_s = 0.05
                         await target.__aenter__()
                         target.register()
                     store.put("op", "config", config(1))
                     async with Installation(pathlib.Path(folder), store, _ENTRIES) as installation:
-                        await installation.until_ready()
-                        await scene(Scene(installation, targets))
+                        await installation.wait_until_ready()
+                        await scenario(Scenario(installation, targets))
                     for target in targets:
                         await target.__aexit__()
 
--- a/tests/platform_adapter/test_processes.py
+++ b/tests/platform_adapter/test_processes.py
@@ -69,7 +69,7 @@
         assert self.process is not None
         self.process.send_signal(number)
 
-    async def ended(self) -> int:
+    async def wait_ended(self) -> int:
         """Its exit status, once it has ended."""
         assert self.process is not None
         while self.process.poll() is None:  # noqa: ASYNC110
@@ -107,7 +107,7 @@
         except (aiohttp.ClientError, OSError):
             return 0, b""
 
-    async def ask(
+    async def request(
         self,
         entry: EntryProcess,
         path: str = "/p/1",
@@ -137,7 +137,7 @@
         except (aiohttp.ClientError, OSError):
             return 0, b"", request_id
 
-    async def until(self, what: str, condition: t.Callable[[], t.Awaitable[bool]]) -> None:
+    async def wait_until(self, what: str, condition: t.Callable[[], t.Awaitable[bool]]) -> None:
         """Wait until something holds; give up after a long time."""
         try:
             async with asyncio.timeout(PATIENCE_S):
@@ -147,36 +147,36 @@
             logs = "\n".join([entry.log.read_text()[-3000:] for entry in self.entries])
             raise AssertionError(f"never: {what}\n{logs}") from None
 
-    async def until_ready(self, *entries: EntryProcess) -> None:
+    async def wait_until_ready(self, *entries: EntryProcess) -> None:
         for entry in entries or self.entries:
 
             async def ready(entry: EntryProcess = entry) -> bool:
                 return (await self.get(entry.ports["readiness"], "/v1/ready"))[0] == 200
 
-            await self.until(f"{entry.name} is ready", ready)
+            await self.wait_until(f"{entry.name} is ready", ready)
 
-    async def until_status(
+    async def wait_until_status(
         self, status: int, path: str = "/p/1", key: t.Optional[str] = None
     ) -> None:
         for entry in self.entries:
 
             async def answered(entry: EntryProcess = entry) -> bool:
-                return (await self.ask(entry, path, key=key))[0] == status
+                return (await self.request(entry, path, key=key))[0] == status
 
-            await self.until(f"{entry.name} answers {status}", answered)
+            await self.wait_until(f"{entry.name} answers {status}", answered)
 
-    async def named(self, entry: EntryProcess) -> t.List[str]:
+    async def resolve(self, entry: EntryProcess) -> t.List[str]:
         """Addresses that a client in the entry's zone is told of by that entry."""
         query = f"/v1/resolve?name=a.example&region={entry.region}&zone={entry.zone}"
         status, body = await self.get(entry.ports["lookup"], query)
         return json.loads(body)["addresses"] if status == 200 else []
 
 
-Scene = t.Callable[[Installation, t.List[InstanceStandin]], t.Awaitable[None]]
+Scenario = t.Callable[[Installation, t.List[InstanceStandin]], t.Awaitable[None]]
 
 
-def play(
-    scene: Scene,
+def run_scenario(
+    scenario: Scenario,
     entries: int = 3,
     route: t.Optional[t.Dict[str, t.Any]] = None,
     tenants: t.Optional[t.List[t.Dict[str, t.Any]]] = None,
@@ -195,8 +195,8 @@
                     state["tenants"] = tenants
                 store.put("op", "config", state)
                 async with Installation(pathlib.Path(folder), store, entries) as installation:
-                    await installation.until_ready()
-                    await scene(installation, instances)
+                    await installation.wait_until_ready()
+                    await scenario(installation, instances)
                 for instance in instances:
                     await instance.__aexit__()
 
@@ -218,22 +218,22 @@
     def test_a_signal_while_modules_are_imported(
         self, _name: str, number: int, status: t.Optional[int]
     ) -> None:
-        async def scene(all_of: Installation, _instances: t.List[InstanceStandin]) -> None:
-            entry = all_of.entries[0]
+        async def scenario(installation: Installation, _instances: t.List[InstanceStandin]) -> None:
+            entry = installation.entries[0]
             entry.signal(signal.SIGKILL)
-            await entry.ended()
+            await entry.wait_ended()
             entry.start()
             assert entry.process is not None
             while not loads(entry.process, "msgspec"):  # noqa: ASYNC110
                 await asyncio.sleep(0)
             entry.signal(number)
             if status is not None:
-                self.assertEqual(status, await entry.ended())
+                self.assertEqual(status, await entry.wait_ended())
                 return
-            await all_of.until_ready(entry)
+            await installation.wait_until_ready(entry)
             self.assertIn("event=settings.reloaded", entry.log.read_text())
 
-        play(scene, entries=1)
+        run_scenario(scenario, entries=1)
 
     def test_told_to_stop_while_compiled_code_is_initialised(self) -> None:
         """An exception out of a signal's handler ended 8 of 40 processes by a segfault there."""
@@ -249,7 +249,7 @@
                         await asyncio.sleep(0)
                     await asyncio.sleep(number * _EARLY_STEP_S)
                     entry.signal(signal.SIGTERM)
-                    statuses.append(await entry.ended())
+                    statuses.append(await entry.wait_ended())
             return statuses
 
         self.assertEqual([0] * _EARLY_STOPS, asyncio.run(main()))
@@ -257,131 +257,138 @@
 
 class WholePathTest(unittest.TestCase):
     def test_requests_desired_states_and_drains(self) -> None:
-        async def scene(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             homes: t.List[InstanceStandin] = []
-            for region in sorted({entry.region for entry in all_of.entries}):
-                before = [len(instance.ran) for instance in instances]
-                asked = [entry for entry in all_of.entries if entry.region == region]
+            for region in sorted({entry.region for entry in installation.entries}):
+                before = [len(instance.executed_ids) for instance in instances]
+                asked = [entry for entry in installation.entries if entry.region == region]
                 for entry in asked:
-                    self.assertEqual((200, b"read"), (await all_of.ask(entry))[:2])
-                ran = [len(one.ran) - count for one, count in zip(instances, before, strict=True)]
+                    self.assertEqual((200, b"read"), (await installation.request(entry))[:2])
+                ran = [
+                    len(one.executed_ids) - count
+                    for one, count in zip(instances, before, strict=True)
+                ]
                 # Each region has room of its own, and its entries agree on one of its instances.
                 self.assertEqual([0] * (len(ran) - 1) + [len(asked)], sorted(ran))
                 home = instances[ran.index(len(asked))]
                 self.assertEqual(region, ZONES[instances.index(home)].partition("-")[0])
                 homes.append(home)
 
-            all_of.store.put("op", "config", config(2, prefix="/q/"))
-            await all_of.until_status(404, "/p/1")
-            await all_of.until_status(200, "/q/1")
+            installation.store.put("op", "config", config(2, prefix="/q/"))
+            await installation.wait_until_status(404, "/p/1")
+            await installation.wait_until_status(200, "/q/1")
 
             zone = ZONES[instances.index(homes[0])]
             row = homes[0].row("s1", zone, state="draining")
-            all_of.store.put("servers", homes[0].instance_id, row)
+            installation.store.put("servers", homes[0].instance_id, row)
 
             async def moved(entry: EntryProcess) -> bool:
-                _, _, request_id = await all_of.ask(entry, "/q/1")
-                return request_id not in homes[0].ran
+                _, _, request_id = await installation.request(entry, "/q/1")
+                return request_id not in homes[0].executed_ids
 
-            for entry in all_of.entries:
-                await all_of.until("the drain is known", lambda entry=entry: moved(entry))
+            for entry in installation.entries:
+                await installation.wait_until(
+                    "the drain is known", lambda entry=entry: moved(entry)
+                )
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_an_evacuated_zone_gets_nothing(self) -> None:
-        async def scene(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
-            await all_of.ask(all_of.entries[0])
-            home = next(instance for instance in instances if instance.ran)
-            all_of.store.put("op", f"evacuate/{ZONES[instances.index(home)]}", {})
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+            await installation.request(installation.entries[0])
+            home = next(instance for instance in instances if instance.executed_ids)
+            installation.store.put("op", f"evacuate/{ZONES[instances.index(home)]}", {})
 
             async def moved() -> bool:
-                _, _, request_id = await all_of.ask(all_of.entries[0])
-                return request_id not in home.ran
+                _, _, request_id = await installation.request(installation.entries[0])
+                return request_id not in home.executed_ids
 
-            await all_of.until("the zone is evacuated", moved)
+            await installation.wait_until("the zone is evacuated", moved)
 
-        play(scene, entries=1)
+        run_scenario(scenario, entries=1)
 
     def test_a_planned_stop_cuts_nothing_off_and_is_told(self) -> None:
-        async def scene(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             for instance in instances:
-                instance.work_s = 0.5
-            first, *others = all_of.entries
-            asked = asyncio.create_task(all_of.ask(first, body=b"order"))
-            while not any(instance.ran for instance in instances):  # noqa: ASYNC110
+                instance.service_time_s = 0.5
+            first, *others = installation.entries
+            asked = asyncio.create_task(installation.request(first, body=b"order"))
+            while not any(instance.executed_ids for instance in instances):  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             first.signal(signal.SIGTERM)
             address = f"127.0.0.1:{first.ports['caller']}"
 
             async def unnamed() -> bool:
-                return all([address not in await all_of.named(other) for other in others])
+                return all([address not in await installation.resolve(other) for other in others])
 
-            await all_of.until("nobody names it", unnamed)
+            await installation.wait_until("nobody names it", unnamed)
             self.assertEqual((200, b"order"), (await asked)[:2])
-            self.assertEqual(503, (await all_of.get(first.ports["readiness"], "/v1/ready"))[0])
-            self.assertEqual(0, await first.ended())
-            self.assertEqual(2, len(all_of.store.keys("entries")))
+            self.assertEqual(
+                503, (await installation.get(first.ports["readiness"], "/v1/ready"))[0]
+            )
+            self.assertEqual(0, await first.wait_ended())
+            self.assertEqual(2, len(installation.store.keys("entries")))
             self.assertIn("event=entry.stopped entry=e0 status=0", first.log.read_text())
 
-        play(scene, route={"kind": "unsafe"})
+        run_scenario(scenario, route={"kind": "unsafe"})
 
     def test_a_killed_entry_is_named_no_more_and_comes_back(self) -> None:
-        async def scene(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
-            first, second, _ = all_of.entries
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+            first, second, _ = installation.entries
             address = f"127.0.0.1:{first.ports['caller']}"
 
             async def named() -> bool:
-                return address in await all_of.named(second)
+                return address in await installation.resolve(second)
 
-            await all_of.until("it is named", named)
+            await installation.wait_until("it is named", named)
             first.signal(signal.SIGKILL)
-            await first.ended()
+            await first.wait_ended()
 
             async def unnamed() -> bool:
-                return address not in await all_of.named(second)
+                return address not in await installation.resolve(second)
 
-            await all_of.until("it is named no more", unnamed)
+            await installation.wait_until("it is named no more", unnamed)
             first.start()
-            await all_of.until_ready(first)
-            await all_of.until("it is named again", named)
+            await installation.wait_until_ready(first)
+            await installation.wait_until("it is named again", named)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_entries_serve_while_the_store_is_away_and_learn_afterwards(self) -> None:
-        async def scene(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
-            all_of.store.mode = "silent"
-            for entry in all_of.entries:
-                self.assertEqual(200, (await all_of.ask(entry))[0])
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+            installation.store.mode = "silent"
+            for entry in installation.entries:
+                self.assertEqual(200, (await installation.request(entry))[0])
 
             async def lost() -> bool:
-                return "event=store.lost" in all_of.entries[0].log.read_text()
+                return "event=store.lost" in installation.entries[0].log.read_text()
 
-            await all_of.until("the loss is logged", lost)
-            all_of.store.mode = "ok"
-            all_of.store.put("op", "config", config(2, prefix="/q/"))
-            await all_of.until_status(200, "/q/1")
+            await installation.wait_until("the loss is logged", lost)
+            installation.store.mode = "ok"
+            installation.store.put("op", "config", config(2, prefix="/q/"))
+            await installation.wait_until_status(200, "/q/1")
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_one_that_the_store_turns_away_follows_the_others(self) -> None:
-        async def scene(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
-            late = all_of.entries[0]
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+            late = installation.entries[0]
             late.signal(signal.SIGSTOP)
-            all_of.store.put("op", "config", config(2, prefix="/q/"))
+            installation.store.put("op", "config", config(2, prefix="/q/"))
 
             async def known() -> bool:
-                return (await all_of.ask(all_of.entries[1], "/q/1"))[0] == 200
+                return (await installation.request(installation.entries[1], "/q/1"))[0] == 200
 
-            await all_of.until("the others know", known)
-            all_of.store.mode = "busy"
+            await installation.wait_until("the others know", known)
+            installation.store.mode = "busy"
             late.signal(signal.SIGCONT)
-            await all_of.until_status(200, "/q/1")
+            await installation.wait_until_status(200, "/q/1")
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_settings_file_that_changed_is_taken_in(self) -> None:
-        async def scene(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
-            entry = all_of.entries[0]
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+            entry = installation.entries[0]
             text = entry.settings.read_text()
 
             async def told(line: str) -> bool:
@@ -397,16 +404,16 @@
             ):
                 entry.settings.write_text(changed)
                 entry.signal(signal.SIGHUP)
-                await all_of.until(line, lambda line=line: told(line))
-            self.assertEqual(200, (await all_of.ask(entry))[0])
+                await installation.wait_until(line, lambda line=line: told(line))
+            self.assertEqual(200, (await installation.request(entry))[0])
 
-        play(scene, entries=1)
+        run_scenario(scenario, entries=1)
 
     def test_metrics_and_the_log_tell_of_a_request(self) -> None:
-        async def scene(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
-            entry = all_of.entries[0]
-            _, _, request_id = await all_of.ask(entry)
-            _, text = await all_of.get(entry.ports["metrics"], "/metrics")
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+            entry = installation.entries[0]
+            _, _, request_id = await installation.request(entry)
+            _, text = await installation.get(entry.ports["metrics"], "/metrics")
             counted = 'coralfall_requests_total{reason="answered",service="s1",status="200"} 1.0'
             self.assertIn(counted, text.decode())
             self.assertIn("coralfall_request_seconds_bucket", text.decode())
@@ -418,9 +425,9 @@
                 parts = ("event=request.ended", "status=200", "sends=i-", "version=1")
                 return all(part in line for part in parts)
 
-            await all_of.until("the log has it", told)
+            await installation.wait_until("the log has it", told)
 
-        play(scene, entries=1)
+        run_scenario(scenario, entries=1)
 
 
 class BadSettingsTest(unittest.TestCase):
--- a/tests/platform_adapter/test_target_limit.py
+++ b/tests/platform_adapter/test_target_limit.py
@@ -6,7 +6,7 @@
 import unittest
 
 from tests.platform_adapter.standins import InstanceStandin
-from tests.platform_adapter.test_processes import ZONES, Installation, play
+from tests.platform_adapter.test_processes import ZONES, Installation, run_scenario
 from tests.traffic.quota_fleet import most_in_window
 
 #: By the users' rule: seconds until the limit binds, seconds of a window, and by what factor and
@@ -42,26 +42,26 @@
         await asyncio.gather(*self._asked)
 
     async def _ask(self, entry: t.Any) -> None:
-        status, _, _ = await self._installation.ask(entry)
+        status, _, _ = await self._installation.request(entry)
         self.statuses.append(status)
 
 
 class TargetLimitTest(unittest.TestCase):
     def test_entries_together_send_no_more_than_a_target_takes(self) -> None:
-        async def scene(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             callers = Callers(installation)
             await callers.send(1.0)
-            home = max(instances, key=lambda instance: len(instance.ran))
+            home = max(instances, key=lambda instance: len(instance.executed_ids))
             self.assertEqual("sierra", ZONES[instances.index(home)].partition("-")[0])
             home.limit_per_s = _LIMIT_PER_S
             await callers.send(STABLE_S)
             bound_at = time.monotonic()
             await callers.send(_BOUND_S)
-            arrived_at = [at for at in home.reached_at if at >= bound_at]
+            arrived_at = [at for at in home.received_at if at >= bound_at]
             most = FACTOR * _LIMIT_PER_S * WINDOW_S + SLACK
             self.assertLessEqual(most_in_window(arrived_at, WINDOW_S), most)
             self.assertGreaterEqual(len(arrived_at), LEAST_PART * _LIMIT_PER_S * _BOUND_S)
             # The other targets have room for the rest.
             self.assertEqual({200}, set(callers.statuses))
 
-        play(scene, entries=4)
+        run_scenario(scenario, entries=4)
--- a/tests/platform_adapter/test_target_reports.py
+++ b/tests/platform_adapter/test_target_reports.py
@@ -6,7 +6,7 @@
 import unittest
 
 from tests.platform_adapter.standins import InstanceStandin
-from tests.platform_adapter.test_processes import EntryProcess, Installation, play
+from tests.platform_adapter.test_processes import EntryProcess, Installation, run_scenario
 
 #: Bounds of the users' rules, in seconds: after an answer that told that its target leaves, and
 #: after one that named a cooldown; and how many requests may come during a cooldown.
@@ -41,7 +41,7 @@
 
     async def _ask(self, entry: EntryProcess) -> None:
         sent_at = time.monotonic()
-        status, _, request_id = await self._installation.ask(entry)
+        status, _, request_id = await self._installation.request(entry)
         self.sent_at[request_id] = sent_at
         self.answered_at[request_id] = time.monotonic()
         self.statuses.append(status)
@@ -50,30 +50,30 @@
 async def home_of(callers: Callers, instances: t.Sequence[InstanceStandin]) -> InstanceStandin:
     """The target that the callers' object has its requests at."""
     await callers.send(1.0)
-    return max(instances, key=lambda instance: len(instance.ran))
+    return max(instances, key=lambda instance: len(instance.executed_ids))
 
 
 class TargetReportsTest(unittest.TestCase):
     def test_a_target_that_leaves_gets_nothing_more_while_the_store_is_away(self) -> None:
-        async def scene(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             (entry,) = installation.entries
             callers = Callers(installation, [entry])
             home = await home_of(callers, instances)
             installation.store.mode = "silent"
             home.leaving = True
-            before = len(home.reached_by)
+            before = len(home.received_ids)
             await callers.send(DRAIN_S + _WATCHED_S)
-            told_by = home.reached_by[before:]
+            told_by = home.received_ids[before:]
             self.assertNotEqual([], told_by)
             told_at = callers.answered_at[told_by[0]]
             late = [one for one in told_by if callers.sent_at[one] > told_at + DRAIN_S]
             self.assertEqual([], late)
             self.assertEqual({200}, set(callers.statuses))
 
-        play(scene, entries=1)
+        run_scenario(scenario, entries=1)
 
     def test_other_entries_hear_who_leaves_while_the_store_is_away(self) -> None:
-        async def scene(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             # Entries of one region agree on the object's home.
             first, second = [one for one in installation.entries if one.region == "sierra"]
             home = await home_of(Callers(installation, [first, second]), instances)
@@ -84,32 +84,32 @@
             async def told() -> bool:
                 return f"event=target.leaving entry={second.name}" in second.log.read_text()
 
-            await installation.until("the other entry hears of it", told)
-            before = len(home.reached_by)
+            await installation.wait_until("the other entry hears of it", told)
+            before = len(home.received_ids)
             callers = Callers(installation, [second])
             await callers.send(1.0)
-            self.assertEqual([], home.reached_by[before:])
+            self.assertEqual([], home.received_ids[before:])
             self.assertEqual({200}, set(callers.statuses))
 
-        play(scene, entries=2)
+        run_scenario(scenario, entries=2)
 
     def test_a_target_that_asks_for_a_cooldown_is_left_alone_for_it(self) -> None:
-        async def scene(installation: Installation, instances: t.List[InstanceStandin]) -> None:
+        async def scenario(installation: Installation, instances: t.List[InstanceStandin]) -> None:
             (entry,) = installation.entries
             callers = Callers(installation, [entry])
             home = await home_of(callers, instances)
             home.cooldown_s = _COOLDOWN_S
-            before = len(home.reached_at)
+            before = len(home.received_at)
             sending = asyncio.create_task(callers.send(_COOLDOWN_S + _WATCHED_S))
             await asyncio.sleep(_COOLDOWN_S)
             home.cooldown_s = None
             await sending
-            first_at = home.reached_at[before]
+            first_at = home.received_at[before]
             until = first_at + _COOLDOWN_S
-            during = [at for at in home.reached_at if first_at + TOLD_S < at < until]
+            during = [at for at in home.received_at if first_at + TOLD_S < at < until]
             self.assertLessEqual(len(during), SLACK)
             # It is used again, and others served its callers meanwhile.
-            self.assertGreater(len([at for at in home.reached_at if at >= until]), 0)
+            self.assertGreater(len([at for at in home.received_at if at >= until]), 0)
             self.assertEqual({200}, set(callers.statuses))
 
-        play(scene, entries=1)
+        run_scenario(scenario, entries=1)
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -33,7 +33,7 @@
         self._record = record
         self._rng = rng
         self._in_hand = 0
-        self.work_s = 0.03
+        self.service_time_s = 0.03
         #: Share of the requests that run and whose answer is lost.
         self.lose = 0.0
         #: Share of the answers that are cut short, or followed by another one.
@@ -73,7 +73,7 @@
             return
         self._in_hand += 1
         try:
-            await asyncio.sleep(self.work_s * self._rng.uniform(0.5, 1.5))
+            await asyncio.sleep(self.service_time_s * self._rng.uniform(0.5, 1.5))
             if _path_of(turn).startswith(DEADLY):
                 self._end_under(_path_of(turn))
                 return
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -161,7 +161,7 @@
 
 async def forget_history(world: World, _rng: random.Random) -> None:
     async with _disturbance(world):
-        world.store.forget()
+        world.store.drop_history()
 
 
 async def change(world: World, rng: random.Random) -> None:
@@ -206,9 +206,9 @@
 
 async def slow_target(world: World, rng: random.Random) -> None:
     target = rng.choice(world.targets)
-    target.work_s *= 8
+    target.service_time_s *= 8
     await asyncio.sleep(rng.uniform(*_LONG_S))
-    target.work_s /= 8
+    target.service_time_s /= 8
 
 
 async def bad_answers(world: World, rng: random.Random) -> None:
--- a/tests/traffic/test_cooldowns.py
+++ b/tests/traffic/test_cooldowns.py
@@ -130,12 +130,13 @@
 
     def test_an_end_that_is_near_keeps_the_least_pause(self) -> None:
         self.say(self.spare, TargetReport(cooldown_s=0.01))
-        self.assertAlmostEqual(defaults.COME_BACK_S, self.refusal().retry_after)
+        self.assertAlmostEqual(defaults.STEER_RETRY_AFTER_S, self.refusal().retry_after)
 
     def test_one_that_was_tried_may_serve_the_next_attempt(self) -> None:
         refusal = self.refusal(tried=(self.spare.target_id,))
         self.assertEqual(
-            ("no-target", defaults.COME_BACK_S), (refusal.fields["reason"], refusal.retry_after)
+            ("no-target", defaults.STEER_RETRY_AFTER_S),
+            (refusal.fields["reason"], refusal.retry_after),
         )
 
     def test_a_cooldown_and_a_limit(self) -> None:
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -281,7 +281,7 @@
             self.assertTrue(state.usable())
             state.fail(reached)
         self.assertFalse(state.usable())
-        steered.clock.advance(defaults.REST_S)
+        steered.clock.advance(defaults.EJECTION_S)
         self.assertTrue(state.usable())
 
     @parameterized.expand(
--- a/tests/traffic/test_departures.py
+++ b/tests/traffic/test_departures.py
@@ -172,7 +172,7 @@
         self.assertEqual(1, len(self.sums()))
 
     def test_one_that_missed_the_news_hears_of_all(self) -> None:
-        self.clock.advance(defaults.GOSSIP_NEWS_S - 1.0)
+        self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S - 1.0)
         self.tick(self.target)
         self.clock.advance(2.0)
         self.tick(self.target)
@@ -181,7 +181,7 @@
         self.assertEqual([True, True, False], self.known())
 
     def test_once_its_row_is_gone_nothing_is_told(self) -> None:
-        self.clock.advance(defaults.GOSSIP_NEWS_S + 1.0)
+        self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S + 1.0)
         self.tick()
         self.assertEqual({0}, self.sums())
         self.ask(1, 0)
--- a/tests/traffic/test_knowledge.py
+++ b/tests/traffic/test_knowledge.py
@@ -210,7 +210,7 @@
         clock.advance(silence_s)
         known.learn_targets(2, make_target(2))
         self.assertEqual(kept, TargetId("t1") in known.steered.targets.by_id)
-        clock.advance(defaults.RETURN_GRACE_S)
+        clock.advance(defaults.MISSING_TARGET_GRACE_S)
         known.state_view.tick()
         self.assertNotIn(TargetId("t1"), known.steered.targets.by_id)
 
@@ -287,7 +287,7 @@
     def test_an_entry_that_was_held_dead_learns_it_and_lives(self, _name: str, asks: bool) -> None:
         one, dead = EntryFixture("e1"), EntryFixture("e2")
         one.members.merge_records([make_record("e2")])
-        for _ in range(defaults.SUSPECT_MISSES):
+        for _ in range(defaults.SUSPECT_MISSED_PROBES):
             one.members.record_probe_failure(make_record("e2").peer_address)
         t.cast(ManualClock, one.clock).advance(60.0)
         self.assertEqual([], one.members.alive_records())
@@ -468,7 +468,9 @@
             fleet = Fleet(clock, count, 0.02)
             fleet.feed.put("state/a", make_state(1))
             work = [asyncio.create_task(fleet.run(200.0))]
-            work.append(asyncio.create_task(fleet.talk(0.02, defaults.GOSSIP_S / 2 - 0.04)))
+            work.append(
+                asyncio.create_task(fleet.talk(0.02, defaults.GOSSIP_INTERVAL_S / 2 - 0.04))
+            )
             await asyncio.sleep(5.0)
             by_rank = sorted(range(count), key=lambda n: fleet.known[n].members.rank())
             fleet.refused.update(by_rank[:turned_away])
@@ -528,7 +530,7 @@
             fleet = Fleet(clock, 1)
             fleet.feed.put("state/a", make_state(1))
             await fleet.followers[0].read()
-            fleet.feed.slow_s = defaults.READ_INTERVAL_S + 0.8
+            fleet.feed.slow_s = defaults.STORE_READ_INTERVAL_S + 0.8
             await fleet.followers[0].read()
             return fleet.known[0].state_view.state_age_s()
 
--- a/tests/traffic/test_members.py
+++ b/tests/traffic/test_members.py
@@ -31,7 +31,7 @@
 )
 
 
-def miss(members: Members, name: str = "e2", times: int = defaults.SUSPECT_MISSES) -> None:
+def miss(members: Members, name: str = "e2", times: int = defaults.SUSPECT_MISSED_PROBES) -> None:
     """Ask an entry in vain, as often as it takes to suspect it."""
     for _ in range(times):
         members.record_probe_failure(make_record(name).peer_address)
@@ -61,11 +61,11 @@
         self.members.merge_records([make_record("e2")])
         self.clock.advance(60.0)
         self.members.start_round()
-        self.clock.advance(defaults.GOSSIP_S)
+        self.clock.advance(defaults.GOSSIP_INTERVAL_S)
         self.members.start_round()
         self.assertEqual(["e2"], self.alive())
         suspect(self.members)
-        self.clock.advance(defaults.ENTRY_SUSPECT_S - 0.1)
+        self.clock.advance(defaults.SUSPICION_TIMEOUT_S - 0.1)
         # What others said before they knew is no refutation, and no new suspicion either.
         self.members.merge_records([make_record("e2")])
         suspect(self.members)
@@ -87,14 +87,14 @@
 
     def test_an_entry_that_is_late_itself_blames_nobody(self) -> None:
         self.members.merge_records([make_record("e2")])
-        self.clock.advance(defaults.GOSSIP_S * defaults.BUSY_ROUNDS + 0.1)
+        self.clock.advance(defaults.GOSSIP_INTERVAL_S * defaults.BUSY_ROUND_FACTOR + 0.1)
         miss(self.members)
         self.assertEqual((), self.members.recent_suspicions())
 
     def test_a_suspicion_of_what_an_entry_said_before_is_passed_over(self) -> None:
         self.members.merge_records([make_record("e2", beat=5)])
         self.members.merge_suspicions([suspicion("e2", 4)])
-        self.clock.advance(defaults.ENTRY_SUSPECT_S)
+        self.clock.advance(defaults.SUSPICION_TIMEOUT_S)
         self.assertEqual(["e2"], self.alive())
 
     @parameterized.expand([("of this beat", 1, 2), ("of one to come", 7, 8), ("of the past", 0, 1)])
@@ -111,14 +111,14 @@
         self.assertEqual(3, len(self.members.recent_records()))
         self.assertEqual((suspicion("e3", 1),), self.members.recent_suspicions())
         self.assertEqual(1, self.members.suspected_count())
-        self.clock.advance(defaults.GOSSIP_NEWS_S)
+        self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S)
         self.assertEqual(["e1"], [record.entry_id for record in self.members.recent_records()])
         self.assertEqual((), self.members.recent_suspicions())
         self.assertEqual(0, self.members.suspected_count())
         told = [record.entry_id for record in self.members.all_records()]
         self.assertEqual(["e1", "e2"], told)
         (told_of,) = self.members.all_suspicions()
-        self.assertEqual(("e3", defaults.GOSSIP_NEWS_S), (told_of.entry_id, told_of.age_s))
+        self.assertEqual(("e3", defaults.GOSSIP_UPDATE_TTL_S), (told_of.entry_id, told_of.age_s))
 
     def test_the_sum_tells_whether_two_know_the_same(self) -> None:
         other = Members(make_record("e2"), self.clock, seeded_rng())
@@ -156,7 +156,7 @@
         self.clock.advance(20.0)
         self.members.start_round()
         self.assertEqual(["e2"], self.alive())
-        self.clock.advance(defaults.ENTRY_SUSPECT_S)
+        self.clock.advance(defaults.SUSPICION_TIMEOUT_S)
         self.assertEqual([], self.alive())
 
     def test_one_entry_has_the_first_rank(self) -> None:
@@ -337,7 +337,7 @@
         question = LookupQuery("a.example", SIERRA, NORTE)
         miss(known.members)
         self.assertEqual(1, len(lookup.addresses(question)))
-        t.cast(ManualClock, known.clock).advance(defaults.ENTRY_SUSPECT_S + 0.1)
+        t.cast(ManualClock, known.clock).advance(defaults.SUSPICION_TIMEOUT_S + 0.1)
         self.assertEqual(0, len(lookup.addresses(question)))
 
     def test_a_zone_s_callers_are_told_of_few_others_and_not_all_of_the_same(self) -> None:
@@ -432,7 +432,7 @@
         return self._rng.random() >= self.lost
 
     def round(self) -> None:
-        self.clock.advance(defaults.GOSSIP_S)
+        self.clock.advance(defaults.GOSSIP_INTERVAL_S)
         for name, known in self.known.items():
             if name in self.gone:
                 continue
@@ -507,7 +507,7 @@
         while fleet.believed_alive() != {frozenset(fleet.known) - fleet.gone}:
             fleet.round()
             rounds += 1
-            self.assertLess(rounds * defaults.GOSSIP_S, bound_s)
+            self.assertLess(rounds * defaults.GOSSIP_INTERVAL_S, bound_s)
 
     def test_two_that_can_t_reach_each_other_stay_alive_by_a_third(self) -> None:
         fleet = MemberFleet(12)
@@ -529,7 +529,7 @@
         while fleet.believed_alive() != {frozenset(fleet.known) - fleet.gone}:
             fleet.round()
             rounds += 1
-            self.assertLess(rounds * defaults.GOSSIP_S, 6.0)
+            self.assertLess(rounds * defaults.GOSSIP_INTERVAL_S, 6.0)
 
     @parameterized.expand(
         [
@@ -553,7 +553,7 @@
         fleet.sent.clear()
         for _ in range(25):
             fleet.round()
-        kb_s = sum(fleet.sent) / count / (25 * defaults.GOSSIP_S) / 1000
+        kb_s = sum(fleet.sent) / count / (25 * defaults.GOSSIP_INTERVAL_S) / 1000
         self.assertLess(kb_s, most_kb)
         if all_live:
             self.assertEqual({frozenset(fleet.known)}, fleet.believed_alive())
@@ -566,5 +566,5 @@
         fleet.sent.clear()
         for _ in range(5):
             fleet.round()
-        per_entry_s = sum(fleet.sent) / count / (5 * defaults.GOSSIP_S)
+        per_entry_s = sum(fleet.sent) / count / (5 * defaults.GOSSIP_INTERVAL_S)
         self.assertLess(per_entry_s, 2000)
--- a/tests/traffic/test_quarantine.py
+++ b/tests/traffic/test_quarantine.py
@@ -156,14 +156,14 @@
         quarantine = Quarantine(600.0, ManualClock(100.0))
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
-        for number in range(defaults.MAX_SUSPECTS + 300):
+        for number in range(defaults.MAX_SUSPECT_REQUESTS + 300):
             quarantine.note_crash(
                 crash_digest(TargetId(f"m{number}"), 1),
                 [(Fingerprint(HeadDigest(number + 10_000), 1), ANA)],
             )
         quarantine.forget()
         self.assertEqual({"x"}, refused(quarantine, "x"))
-        self.assertLessEqual(len(quarantine.recent()), defaults.GOSSIP_SUSPECTS)
+        self.assertLessEqual(len(quarantine.recent()), defaults.MAX_GOSSIP_SUSPECT_REQUESTS)
         self.assertEqual(1, len(quarantine.all()))
 
 
@@ -267,7 +267,7 @@
         for known in self.fleet * 2:
             self.ask(known, self.fleet[3])
         self.assertEqual(1, len({known.quarantine.sum() for known in self.fleet}))
-        self.clock.advance(defaults.GOSSIP_NEWS_S + 1)
+        self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S + 1)
         answer = self.fleet[0].exchange.answer(self.fleet[1].exchange.news())
         self.assertEqual((), answer.suspects)
 
--- a/tests/traffic/test_registry.py
+++ b/tests/traffic/test_registry.py
@@ -92,7 +92,7 @@
 
     def forget(self, *names: str) -> None:
         """Let these forget all whom they don't hear."""
-        self.clock.advance(defaults.ENTRY_FORGET_S + 10.0)
+        self.clock.advance(defaults.DEAD_ENTRY_RETENTION_S + 10.0)
         for name in names:
             members = self.known[name].members
             members.start_round()
@@ -146,7 +146,7 @@
         await self.register("e1", "e2")
         self.meet("e1", "e2")
         for name, other in (("e1", "e2"), ("e2", "e1")):
-            for _ in range(defaults.SUSPECT_MISSES):
+            for _ in range(defaults.SUSPECT_MISSED_PROBES):
                 self.known[name].members.record_probe_failure(make_record(other).peer_address)
         for _ in range(4):
             self.forget("e1", "e2")
--- a/tests/traffic/test_target_limits.py
+++ b/tests/traffic/test_target_limits.py
@@ -99,7 +99,7 @@
         self.assertEqual([3.6, 3.6], [self.known(1), self.known(2)])
 
     def test_one_that_missed_the_news_hears_of_all_limits(self) -> None:
-        self.clock.advance(defaults.GOSSIP_NEWS_S + 1.0)
+        self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S + 1.0)
         self.tick()
         self.assertEqual((), self.fleet[0].limits.recent())
         self.ask(1, 0)
