--- a/src/coralfall/traffic/node.py
+++ b/src/coralfall/traffic/node.py
@@ -190,7 +190,7 @@
         self._callers_server.close_connections_after_answers()
         log.info("entry.leaving", in_hand=self.callers.in_hand)
         unregister = asyncio.create_task(self.registry.unregister())
-        await asyncio.sleep(self.settings.bounds.shutdown_serve_s())
+        await asyncio.sleep(self.settings.bounds.shutdown_accept_s())
         unregister.cancel()
 
     async def _tick(self) -> None:
--- a/src/coralfall/traffic/settings.py
+++ b/src/coralfall/traffic/settings.py
@@ -65,13 +65,13 @@
         """Seconds from a target's start until its row tells of it here."""
         return self.target_beat_s + self.drain_s
 
-    def shutdown_serve_s(self) -> float:
+    def shutdown_accept_s(self) -> float:
         """Seconds for which a stopping entry still takes what callers send to it."""
         return min(defaults.SHUTDOWN_ACCEPT_S, self.grace_s * defaults.SHUTDOWN_ACCEPT_FRACTION)
 
     def lookup_ttl_s(self) -> float:
         """Seconds for which callers may keep an answer to a look-up; a stop waits for them."""
-        kept_s = self.shutdown_serve_s() / defaults.LOOKUP_TTL_OVERRUN_FACTOR
+        kept_s = self.shutdown_accept_s() / defaults.LOOKUP_TTL_OVERRUN_FACTOR
         return min(defaults.STEER_LOOKUP_TTL_S, self.max_ttl_s, kept_s)
 
     def home_shift_per_s(self) -> float:
--- a/tests/platform_adapter/test_template.py
+++ b/tests/platform_adapter/test_template.py
@@ -67,7 +67,7 @@
         bounds = settings.bounds
         pace = pace_of(min(bounds.state_deadline_s(), bounds.drain_s))
         used = (
-            bounds.shutdown_serve_s(),
+            bounds.shutdown_accept_s(),
             bounds.lookup_ttl_s(),
             bounds.home_shift_per_s(),
             settings.max_caller_connections(),
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -405,7 +405,7 @@
         self, _name: str, changes: t.Dict[str, t.Any], leave_s: float, ttl_s: float, per_s: float
     ) -> None:
         bounds = BoundSettings(**changes)
-        found = (bounds.shutdown_serve_s(), bounds.lookup_ttl_s(), bounds.home_shift_per_s())
+        found = (bounds.shutdown_accept_s(), bounds.lookup_ttl_s(), bounds.home_shift_per_s())
         for expected, value in zip((leave_s, ttl_s, per_s), found, strict=True):
             self.assertAlmostEqual(expected, value)
 
--- a/tests/traffic/test_gossip.py
+++ b/tests/traffic/test_gossip.py
@@ -22,7 +22,7 @@
 from coralfall.traffic.pace import pace_of
 from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.makers import make_record, make_settings, make_state, make_target, seeded_rng
-from tests.traffic.test_knowledge import MemoryFeed
+from tests.traffic.test_replicated_state import MemoryFeed
 from tests.virtual_loop import LoopClock, run_virtual
 
 TARGETS = 300
