--- a/benchmarks/deciders.py
+++ b/benchmarks/deciders.py
@@ -205,7 +205,7 @@
     def refresh(self) -> None:
         """What an entry does several times a second."""
         self.steering.refresh()
-        collections.deque(self.slots.steps(), maxlen=0)
+        collections.deque(self.slots.update_steps(), maxlen=0)
 
     async def live(self, others: EntriesById) -> None:
         self.others = others
@@ -213,17 +213,17 @@
             self.lease.renewed(self.clock.now)
             peers = [peer for peer in others.values() if peer is not self and peer.up]
             few = min(len(peers), 2 * defaults.HEARTBEAT_FANOUT)
-            for peer in peers if self.slots.awaited else self.rng.sample(peers, few):
+            for peer in peers if self.slots.awaited_members else self.rng.sample(peers, few):
                 self._later(peer, self._hear, peer)
             for _ in range(4):
                 await asyncio.sleep(defaults.HEARTBEAT_INTERVAL_S / 4)
                 self.refresh()
                 self._give_back()
-                self.steering.wake_all()
+                self.steering.wake_all_waiters()
 
     def ask(self, service: ServiceId, count: int, regions: t.Sequence[RegionId]) -> None:
         """Ask a peer for slots, as the product's entry does."""
-        ask = self.borrower.ask(service, count, regions)
+        ask = self.borrower.create_request(service, count, regions)
         if ask is None:
             return
         peer = self.others[ask.peer]
@@ -233,14 +233,16 @@
         self._later(peer, self._answered, peer, ask, peer.lender.answer(self.id, ask.request))
 
     def _answered(self, peer: "Ours", ask: t.Any, answer: t.Any) -> None:
-        for back in self.borrower.answered(ask, answer):
+        for back in self.borrower.accept_answer(ask, answer):
             self._later(peer, peer._returned, self.id, back.message)
-        self.steering.slots_arrived(ask.request.service)
+        self.steering.wake_waiters(ask.request.service)
 
     def _hear(self, peer: "Ours") -> None:
-        self.borrower.heard(peer.id, {name: peer.lender.lendable(name) for name in self.services})
-        self.slots.take_acks([Ack(peer.id, peer.incarnation, peer.slots.acknowledged)])
-        collections.deque(self.slots.steps(), maxlen=0)
+        self.borrower.record_heartbeat(
+            peer.id, {name: peer.lender.lendable(name) for name in self.services}
+        )
+        self.slots.apply_acks([Ack(peer.id, peer.incarnation, peer.slots.acknowledged_revision)])
+        collections.deque(self.slots.update_steps(), maxlen=0)
 
     def _give_back(self) -> None:
         for back in self.borrower.due_returns():
@@ -248,8 +250,8 @@
             self._later(peer, peer._returned, self.id, back.message)
 
     def _returned(self, borrower: EntryId, message: LoanReturn) -> None:
-        for service in self.lender.returned(borrower, message):
-            self.steering.slots_arrived(service)
+        for service in self.lender.accept_return(borrower, message):
+            self.steering.wake_waiters(service)
 
     def _later(self, peer: t.Any, action: t.Callable[..., None], *arguments: t.Any) -> None:
         way = way_s(self.zone, peer.zone)
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from coralfall.balancing.ownership import ranked
+from coralfall.balancing.ownership import ranked_members
 from coralfall.ids import EntryId, TargetId
 
 Key = t.Tuple[TargetId, int]
@@ -39,7 +39,7 @@
 
 def plain(keys: t.Sequence[Key], members: t.Sequence[EntryId]) -> Owners:
     """The owner is the first in rank."""
-    return {key: ranked(*key, members)[0] for key in keys}
+    return {key: ranked_members(*key, members)[0] for key in keys}
 
 
 def balanced(keys: t.Sequence[Key], members: t.Sequence[EntryId]) -> Owners:
@@ -48,7 +48,7 @@
     owners: Owners = {}
     count = dict.fromkeys(members, 0)
     for key in keys:
-        for member in ranked(*key, members):
+        for member in ranked_members(*key, members):
             if count[member] < most:
                 break
         owners[key] = member
--- a/benchmarks/slot_cost.py
+++ b/benchmarks/slot_cost.py
@@ -62,7 +62,7 @@
         started = time.perf_counter()
         self.slots.update(self.roster, self.limits)
         seconds.append(time.perf_counter() - started)
-        steps = self.slots.steps()
+        steps = self.slots.update_steps()
         while True:
             started = time.perf_counter()
             if next(steps, self) is self:
@@ -75,7 +75,7 @@
     subject = Subject(members, targets)
     print(f"{members} members, {targets} targets; limits {subject.limits_s * 1000:.1f} ms")
     costs = {"start": subject.work()}
-    subject.slots.take_acks(subject.acks())
+    subject.slots.apply_acks(subject.acks())
     costs["all acknowledge"] = subject.work()
     subject.put("x", members + 1)
     costs["one joins"] = subject.work()
--- a/src/coralfall/balancing/capacity.py
+++ b/src/coralfall/balancing/capacity.py
@@ -27,7 +27,7 @@
     partner: t.Optional[PartnerId] = None
 
 
-class Place(msgspec.Struct, frozen=True):
+class PlacedTarget(msgspec.Struct, frozen=True):
     """A target with whose it is, and whether another partner's region only bears it."""
 
     target_id: TargetId
@@ -72,27 +72,27 @@
     the order of the targets' hashes: first among the targets that share a grant, then among
     all of the region.
     """
-    slots_by_id = {place.target_id: _asked(place) for place in places_of(bundles)}
+    slots_by_id = {place.target_id: _asked(place) for place in placed_targets(bundles)}
     for pool, members in pools(bundles).items():
         asked = {target_id: slots_by_id[target_id] for target_id in members}
         slots_by_id.update(_deal(pool_limit(bundles, pool), asked))
     return slots_by_id
 
 
-def places_of(bundles: t.Mapping[PartnerId, Bundle]) -> t.List[Place]:
+def placed_targets(bundles: t.Mapping[PartnerId, Bundle]) -> t.List[PlacedTarget]:
     """Every target once, in order of its id.
 
     Ids of targets are the partners' own choice.  If two name one alike, the target in its
     partner's own region stays, so that nobody pushes out another's by its name.
     """
-    place_by_id: t.Dict[TargetId, Place] = {}
+    place_by_id: t.Dict[TargetId, PlacedTarget] = {}
     for partner, bundle in sorted(bundles.items()):
         for target_id, target in bundle.targets.items():
             granted = target.region not in bundle.regions
             known = place_by_id.get(target_id)
             if known is not None and known.granted <= granted:
                 continue
-            place_by_id[target_id] = Place(target_id, partner, target, granted)
+            place_by_id[target_id] = PlacedTarget(target_id, partner, target, granted)
     return [place_by_id[target_id] for target_id in sorted(place_by_id)]
 
 
@@ -100,7 +100,7 @@
     """Targets by the limits that they share, those of grants before those of regions."""
     by_grant: t.Dict[Pool, t.Set[TargetId]] = {}
     by_region: t.Dict[Pool, t.Set[TargetId]] = {}
-    for place in places_of(bundles):
+    for place in placed_targets(bundles):
         region = place.target.region
         by_region.setdefault(Pool(region), set()).add(place.target_id)
         if place.granted:
@@ -126,7 +126,7 @@
     return min(limits, default=0)
 
 
-def stricter(accepted: Bundle, staged: Bundle) -> Bundle:
+def stricter_bundle(accepted: Bundle, staged: Bundle) -> Bundle:
     """A bundle that allows only what both allow; for while it is unknown which is in force.
 
     How many slots each target gets is not to be worked out from the result, since what one
@@ -158,7 +158,7 @@
     return max(0, target.connections - target.slots) // max(1, members)
 
 
-def _asked(place: Place) -> int:
+def _asked(place: PlacedTarget) -> int:
     if place.target.state is TargetState.LEAVING:
         return 0
     return min(place.target.slots, place.target.connections)
--- a/src/coralfall/balancing/fleet_steering.py
+++ b/src/coralfall/balancing/fleet_steering.py
@@ -12,11 +12,11 @@
 from ..exceptions import RefusedError
 from ..ids import BundleVersion, PartnerId, RegionId, ServiceId, TargetId
 from .capacity import idle_connections
-from .served import ServedService, ServedServices
+from .served_services import ServedService, ServedServices
 from .slot import Slot
 from .slots import SlotTable
 from .steering import AttemptResult, Reservation, Steering
-from .waiters import woken
+from .wait_queue import wait_for_turn
 
 if t.TYPE_CHECKING:
     from ..cluster.roster import Roster
@@ -32,7 +32,7 @@
 _MAY_STILL_RUN = frozenset((AttemptResult.CANCELLED, AttemptResult.FAILED))
 
 #: Asks peers for slots of a service: how many, and in which regions they are of use.
-AskLoan = t.Callable[[ServiceId, int, t.Sequence[RegionId]], None]
+StartLoanRequest = t.Callable[[ServiceId, int, t.Sequence[RegionId]], None]
 
 
 class FleetReservation(Reservation, frozen=True, kw_only=True, eq=False):
@@ -49,7 +49,7 @@
     :param slots: the slots that this entry may use.
     :param clock: the VM's clocks.
     :param platform_clock: the platform's time, in which shifts and ramps are reckoned.
-    :param ask_loan: called when a service has no free slot left.
+    :param start_loan_request: called when a service has no free slot left.
     """
 
     def __init__(
@@ -59,13 +59,13 @@
         slots: SlotTable,
         clock: "Clock",
         platform_clock: "PlatformClock",
-        ask_loan: AskLoan,
+        start_loan_request: StartLoanRequest,
     ) -> None:
         self._rollouts = rollouts
         self._roster = roster
         self._slots = slots
         self._clock = clock
-        self._ask_loan = ask_loan
+        self._ask_loan = start_loan_request
         #: The services that are served, as of the last refresh.
         self.served = ServedServices(rollouts, roster, slots, clock, platform_clock)
 
@@ -79,18 +79,18 @@
         body_bytes: int,
     ) -> FleetReservation:
         rules = self.service(partner, service)
-        service_state = self.served.by_key.get((partner, service))
+        service_state = self.served.service_by_key.get((partner, service))
         if rules is None or service_state is None:
             raise RefusedError("the service is not in force here", defaults.RETRY_AFTER_S)
         if not tried:
-            service_state.router.offer()
+            service_state.router.count_request()
             # The offer may be what a waiting request lacked.
-            service_state.waiters.wake()
+            service_state.wait_queue.wake_first()
         try:
             return await self._reserve(service_state, service, rules, tried, deadline)
         except RefusedError:
             if not tried:
-                service_state.router.refuse()
+                service_state.router.count_refused()
             raise
 
     def check(self, reservation: Reservation) -> None:
@@ -104,7 +104,7 @@
             )
 
     def pace(self, reservation: Reservation, size: int) -> float:
-        return self.served.links.reserve(reservation.region, size)
+        return self.served.link_limiter.reserve(reservation.region, size)
 
     def finish(
         self,
@@ -114,11 +114,11 @@
         load: t.Optional[str],
     ) -> None:
         assert isinstance(reservation, FleetReservation)
-        service_state = self.served.by_key.get((reservation.partner, reservation.service))
+        service_state = self.served.service_by_key.get((reservation.partner, reservation.service))
         if service_state is not None:
             now = self._clock.monotonic()
             health = service_state.router.health
-            health.attempted(reservation.target_id, result, seconds, load, now)
+            health.record_attempt(reservation.target_id, result, seconds, load, now)
         if result in _MAY_STILL_RUN:
             # The target learns of a closed connection or a passed deadline after this entry.
             loop = asyncio.get_running_loop()
@@ -129,10 +129,10 @@
     def _free(self, reservation: FleetReservation) -> None:
         self._slots.release(reservation.slot)
         self.served.drains.finish(reservation.target_id, self._clock.monotonic())
-        service_state = self.served.by_key.get((reservation.partner, reservation.service))
+        service_state = self.served.service_by_key.get((reservation.partner, reservation.service))
         if service_state is not None:
-            service_state.router.finished(reservation.target_id)
-            service_state.waiters.wake()
+            service_state.router.count_finished(reservation.target_id)
+            service_state.wait_queue.wake_first()
 
     def service(self, partner: PartnerId, service: ServiceId) -> t.Optional[Service]:
         if partner not in self._rollouts:
@@ -151,7 +151,7 @@
         """Take in bundles, roster and time as they are now; see :meth:`ServedServices.refresh`."""
         self.served.refresh()
 
-    def slots_arrived(self, service: ServiceId) -> None:
+    def wake_waiters(self, service: ServiceId) -> None:
         """Let requests that wait for a slot of ``service`` look.
 
         To be called when slots were borrowed or given back, and also when a request for a loan
@@ -159,7 +159,7 @@
         """
         self.served.wake(service)
 
-    def wake_all(self) -> None:
+    def wake_all_waiters(self) -> None:
         """Let all waiting requests look again, after slots may have become usable."""
         self.served.wake()
 
@@ -172,14 +172,14 @@
         deadline: float,
     ) -> FleetReservation:
         self._refresh_router(service_state, service, rules)
-        if not service_state.waiters:
+        if not service_state.wait_queue:
             try:
                 return self._take(service_state, service, tried)
             except RefusedError:
-                if not service_state.router.governor.allowed(bool(tried)):
+                if not service_state.router.shift_limiter.allowed_regions(bool(tried)):
                     raise
         if self._queue_is_full(service_state, service):
-            raise service_state.router.busy()
+            raise service_state.router.busy_error()
         now = self._clock.monotonic()
         seconds = min(defaults.MAX_QUEUE_WAIT_S, (deadline - now) * _MAX_QUEUE_PART)
         return await self._queue(service_state, service, rules, tried, now + seconds)
@@ -193,37 +193,39 @@
         give_up_at: float,
     ) -> FleetReservation:
         """Wait for a slot behind the requests that wait already."""
-        waiter = service_state.waiters.join()
+        waiter = service_state.wait_queue.join()
         self._ask_for(service_state, service, tried)
         try:
-            while await woken(waiter, give_up_at - self._clock.monotonic()):
+            while await wait_for_turn(waiter, give_up_at - self._clock.monotonic()):
                 waiter.clear()
                 self._refresh_router(service_state, service, rules)
                 try:
                     return self._take(service_state, service, tried)
                 except RefusedError:
-                    if not service_state.router.governor.allowed(bool(tried)):
+                    if not service_state.router.shift_limiter.allowed_regions(bool(tried)):
                         raise
                 if tried:
                     # It may go to fewer places than the one behind it.
-                    service_state.waiters.wake_after(waiter)
+                    service_state.wait_queue.wake_after(waiter)
                 self._ask_for(service_state, service, tried)
-            raise service_state.router.busy()
+            raise service_state.router.busy_error()
         finally:
-            service_state.waiters.leave(waiter)
+            service_state.wait_queue.leave(waiter)
 
     def _ask_for(
         self, service_state: ServedService, service: ServiceId, tried: t.Collection[TargetId]
     ) -> None:
-        governor = service_state.router.governor
-        regions = governor.allowed(bool(tried))
+        shift_limiter = service_state.router.shift_limiter
+        regions = shift_limiter.allowed_regions(bool(tried))
         if not tried:
-            regions += [region for region in governor.stretched() if region not in regions]
-        self._ask_loan(service, len(service_state.waiters), regions)
+            regions += [
+                region for region in shift_limiter.overdraft_regions() if region not in regions
+            ]
+        self._ask_loan(service, len(service_state.wait_queue), regions)
 
     def _queue_is_full(self, service_state: ServedService, service: ServiceId) -> bool:
         most = max(_MIN_QUEUE, _QUEUE_PER_SLOT * self._slots.in_use(service))
-        return len(service_state.waiters) >= most
+        return len(service_state.wait_queue) >= most
 
     def _take(
         self, service_state: ServedService, service: ServiceId, tried: t.Collection[TargetId]
@@ -237,8 +239,8 @@
         slot = self._slots.acquire(target_id)
         if slot is None:
             # The lease lapsed since the slots were counted: the process was paused in between.
-            router.put_back(candidate)
-            raise router.busy()
+            router.undo_choice(candidate)
+            raise router.busy_error()
         self.served.drains.start(target_id)
         if len(free_by_id) == 1 and free_by_id[target_id] == 1:
             # The last free slot is gone: ask before the next request has to wait.
@@ -258,9 +260,9 @@
         self, service_state: ServedService, service: ServiceId, rules: Service
     ) -> None:
         now = self._clock.monotonic()
-        if not service_state.router.due(now):
+        if not service_state.router.is_refresh_due(now):
             return
-        planned = self.served.planned(service_state.partner, service, rules)
+        planned = self.served.planned_shares(service_state.partner, service, rules)
         in_use = self._slots.in_use(service)
         free = sum(self._slots.free_by_target(service).values())
         prior = in_use / (in_use + free) if in_use else 0.0
--- a/src/coralfall/balancing/handover.py
+++ b/src/coralfall/balancing/handover.py
@@ -29,7 +29,7 @@
 import msgspec
 
 from ..ids import EntryId, EntryState, Incarnation, Revision, TargetId
-from .ownership import ranked
+from .ownership import ranked_members
 
 if t.TYPE_CHECKING:
     from ..cluster.roster import Roster
@@ -46,7 +46,7 @@
     revision: Revision
 
 
-class Settled(t.NamedTuple):
+class ResolvedMembers(t.NamedTuple):
     """What has become of members that were waited for."""
 
     #: They have acknowledged something, be it enough or not.
@@ -66,29 +66,29 @@
         #: Incarnation under which the entry is a member; ``None`` while it is not.
         self.incarnation: t.Optional[Incarnation] = None
         #: How many times the entry has become a member.
-        self.lives = 0
+        self.join_count = 0
         #: Revision of the roster that was last taken in.
         self.revision = _NO_REVISION
         #: Members that may not know yet that this entry has joined.
-        self.awaited: t.Dict[EntryId, Incarnation] = {}
+        self.awaited_members: t.Dict[EntryId, Incarnation] = {}
         self._joined = _NO_REVISION
         self._written_by_id: t.Dict[EntryId, Revision] = {}
         self._acked_by_life: t.Dict[t.Tuple[EntryId, Incarnation], Revision] = {}
 
-    def update(self, roster: "Roster") -> Settled:
+    def update(self, roster: "Roster") -> ResolvedMembers:
         """Take in the roster as it is now."""
         self.revision = roster.revision
         self._written_by_id = {name: roster.written(name) for name in roster.by_id}
         removed = set()
-        for entry_id, incarnation in list(self.awaited.items()):
+        for entry_id, incarnation in list(self.awaited_members.items()):
             if not roster.holds(entry_id, incarnation):
-                del self.awaited[entry_id]
+                del self.awaited_members[entry_id]
                 removed.add(entry_id)
         self._forget_old_lives(roster)
         self._follow_own_life(roster)
-        return Settled(self._take_acked(), removed)
+        return ResolvedMembers(self._take_acked(), removed)
 
-    def take(self, acks: t.Iterable[Ack]) -> Settled:
+    def apply_acks(self, acks: t.Iterable[Ack]) -> ResolvedMembers:
         """Take in what members have acknowledged."""
         heard = set()
         for ack in acks:
@@ -96,21 +96,21 @@
             if ack.revision <= self._acked_by_life.get(life, _NO_REVISION):
                 continue
             self._acked_by_life[life] = ack.revision
-            if self.awaited.get(ack.entry_id) == ack.incarnation:
+            if self.awaited_members.get(ack.entry_id) == ack.incarnation:
                 heard.add(ack.entry_id)
-        return Settled(heard | self._take_acked(), set())
+        return ResolvedMembers(heard | self._take_acked(), set())
 
-    def blocker(self, target_id: TargetId, index: int) -> t.Optional[EntryId]:
+    def blocking_member(self, target_id: TargetId, index: int) -> t.Optional[EntryId]:
         """An awaited member that may still own the slot by an older roster, if there is one.
 
         What a member has acknowledged shows whom it surely knows; it owns nothing that one of
         those would own before it.
         """
-        if not self.awaited:
+        if not self.awaited_members:
             return None
         oldest_before = _NO_LIMIT
-        for entry_id in ranked(target_id, index, self._written_by_id):
-            incarnation = self.awaited.get(entry_id)
+        for entry_id in ranked_members(target_id, index, self._written_by_id):
+            incarnation = self.awaited_members.get(entry_id)
             if incarnation is not None and self._acked(entry_id, incarnation) < oldest_before:
                 return entry_id
             oldest_before = min(oldest_before, self._written_by_id[entry_id])
@@ -120,7 +120,7 @@
         me = roster.by_id.get(self._entry_id)
         if me is None:
             self.incarnation = None
-            self.awaited = {}
+            self.awaited_members = {}
             return
         written = roster.written(self._entry_id)
         # Within one life the row is written once more only, to say that the entry leaves.
@@ -128,18 +128,18 @@
         if me.incarnation == self.incarnation and same_row:
             return
         self.incarnation = me.incarnation
-        self.lives += 1
-        self.awaited = {}
+        self.join_count += 1
+        self.awaited_members = {}
         self._joined = written
         for entry_id, member in roster.by_id.items():
             if entry_id != self._entry_id:
-                self.awaited[entry_id] = member.incarnation
+                self.awaited_members[entry_id] = member.incarnation
 
     def _take_acked(self) -> t.Set[EntryId]:
         acked = set()
-        for entry_id, incarnation in list(self.awaited.items()):
+        for entry_id, incarnation in list(self.awaited_members.items()):
             if self._acked(entry_id, incarnation) >= self._joined:
-                del self.awaited[entry_id]
+                del self.awaited_members[entry_id]
                 acked.add(entry_id)
         return acked
 
--- a/src/coralfall/balancing/health.py
+++ b/src/coralfall/balancing/health.py
@@ -10,7 +10,7 @@
 from .. import defaults
 from ..bundles.bundle import Target
 from ..ids import RegionId, TargetId, ZoneId
-from .ramp import backoff, ramped_slots
+from .ramp import probe_backoff_s, ramped_slots
 from .steering import AttemptResult
 
 #: Weight of one new latency in a target's mean, and of one in its zone's.
@@ -65,18 +65,18 @@
         self._unwell_at = float("-inf")
 
     @property
-    def suspect(self) -> bool:
+    def is_suspect(self) -> bool:
         """Whether its last requests failed in a row."""
         return self.failures >= defaults.SUSPECT_FAILURES
 
     @property
-    def dead(self) -> bool:
+    def is_dead(self) -> bool:
         """Whether so many failed that no doubt is left."""
         return self.failures >= defaults.DEAD_FAILURES
 
-    def answered(self, seconds: float, now: float) -> None:
+    def record_answer(self, seconds: float, now: float) -> None:
         """Take in an answer that came after ``seconds``."""
-        if self.suspect:
+        if self.is_suspect:
             self._recovered_at = now
         self.failures = 0
         self._sheds = 0
@@ -86,18 +86,18 @@
         self._latency_s += LATENCY_WEIGHT * (seconds - self._latency_s)
         self._latency_at = now
 
-    def shed(self, now: float) -> None:
+    def record_shed(self, now: float) -> None:
         """Take in the target's own word that it did not run a request for want of room."""
         pause = min(SHED_BACKOFF_S * 2.0**self._sheds, SHED_BACKOFF_MAX_S)
         self._paused_until = now + pause
         self._sheds = min(self._sheds + 1, 16)
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Take in a request that got no whole answer, or none at all."""
         self.failures += 1
-        self._probe_at = now + backoff(self.failures - defaults.SUSPECT_FAILURES)
+        self._probe_at = now + probe_backoff_s(self.failures - defaults.SUSPECT_FAILURES)
 
-    def report(self, in_flight: int, slots: int, now: float, healthy: bool = True) -> None:
+    def record_report(self, in_flight: int, slots: int, now: float, healthy: bool = True) -> None:
         """Take in a report of load and health."""
         reported = in_flight / max(1, slots)
         if reported != self._reported:
@@ -105,26 +105,26 @@
             self._report_changed_at = now
         self._unwell_at = float("-inf") if healthy else now
 
-    def looks_dead(self, now: float) -> bool:
+    def seems_dead(self, now: float) -> bool:
         """Whether requests failed in a row, or it calls itself unwell and no answer says else."""
-        if self.suspect:
+        if self.is_suspect:
             return True
         return (
             now - self._unwell_at < defaults.UNHEALTHY_REPORT_TTL_S
             and self._answered_at < self._unwell_at
         )
 
-    def paused(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Whether it said a moment ago that it was full."""
         return now < self._paused_until
 
-    def probe_due(self, now: float) -> bool:
+    def is_probe_due(self, now: float) -> bool:
         """Whether a single request may find out if a suspected target is back."""
         return now >= self._probe_at
 
-    def probe(self, now: float) -> None:
+    def start_probe(self, now: float) -> None:
         """Count a request as the probe; the next one waits for its result or the backoff."""
-        self._probe_at = now + backoff(self.failures - defaults.SUSPECT_FAILURES + 1)
+        self._probe_at = now + probe_backoff_s(self.failures - defaults.SUSPECT_FAILURES + 1)
 
     def load(self, own: float, prior: float, now: float) -> float:
         """Share of the target's slots in use, as far as can be known.
@@ -139,7 +139,7 @@
         weight = math.pow(0.5, age / defaults.REPORT_HALF_LIFE_S)
         return max(own, weight * self._reported + (1 - weight) * prior)
 
-    def latency(self, zone_latency_s: float, now: float) -> float:
+    def expected_latency_s(self, zone_latency_s: float, now: float) -> float:
         """Seconds until an answer is to be expected.
 
         :param zone_latency_s: mean of the target's zone, which replaces an old estimate.
@@ -183,7 +183,7 @@
     """
 
     def __init__(self, ramp_s: float) -> None:
-        self.by_id: t.Dict[TargetId, TargetHealth] = {}
+        self.health_by_target: t.Dict[TargetId, TargetHealth] = {}
         self._ramp_s = ramp_s
         self._region_by_id: t.Dict[RegionId, _RegionHealth] = {}
         self._serving: t.Set[RegionId] = set()
@@ -192,25 +192,25 @@
 
     def set_targets(self, targets_by_id: t.Mapping[TargetId, Target], now: float) -> None:
         """Know just these targets; what is known of those that stay is kept."""
-        for target_id in list(self.by_id):
+        for target_id in list(self.health_by_target):
             if target_id not in targets_by_id:
-                del self.by_id[target_id]
+                del self.health_by_target[target_id]
         for target_id, target in targets_by_id.items():
-            health = self.by_id.get(target_id)
+            health = self.health_by_target.get(target_id)
             if health is not None and health.target.address == target.address:
                 health.target = target
                 continue
-            self.by_id[target_id] = TargetHealth(target, self._ramp_s)
+            self.health_by_target[target_id] = TargetHealth(target, self._ramp_s)
         self.refresh(now)
 
     def refresh(self, now: float) -> None:
         """Reckon anew which regions are doubted and which are lost."""
         for region in self._region_by_id.values():
             region.known = region.looking_dead = 0
-        for health in self.by_id.values():
+        for health in self.health_by_target.values():
             region = self._region_by_id.setdefault(health.target.region, _RegionHealth())
             region.known += 1
-            region.looking_dead += health.looks_dead(now)
+            region.looking_dead += health.seems_dead(now)
         self._serving.clear()
         for region_id, region in list(self._region_by_id.items()):
             if not region.known:
@@ -224,11 +224,11 @@
             self._serving.update(self._region_by_id)
 
     @property
-    def serving(self) -> t.AbstractSet[RegionId]:
+    def serving_regions(self) -> t.AbstractSet[RegionId]:
         """Regions that can serve."""
         return self._serving
 
-    def attempted(
+    def record_attempt(
         self,
         target_id: TargetId,
         result: AttemptResult,
@@ -241,68 +241,68 @@
         :param seconds: how long it took.
         :param load: the target's own word on its load, as ``in-flight/slots``, if it gave one.
         """
-        known = self.by_id.get(target_id)
+        known = self.health_by_target.get(target_id)
         if known is None:
             return
         if load is not None:
             in_flight, _, slots = load.partition("/")
             if in_flight.isdigit() and slots.isdigit():
-                known.report(int(in_flight), int(slots), now)
+                known.record_report(int(in_flight), int(slots), now)
         if result is AttemptResult.ANSWERED:
-            self.answered(target_id, seconds, now)
+            self.record_answer(target_id, seconds, now)
             return
         if result is AttemptResult.NOT_RUN and load is not None:
             # The target's own word; without a load report nobody was reached.
-            known.shed(now)
+            known.record_shed(now)
             return
         if result is not AttemptResult.CANCELLED:
-            self.failed(target_id, now)
+            self.record_failure(target_id, now)
 
-    def answered(self, target_id: TargetId, seconds: float, now: float) -> None:
+    def record_answer(self, target_id: TargetId, seconds: float, now: float) -> None:
         """Take in an answer of a target."""
-        health = self.by_id.get(target_id)
+        health = self.health_by_target.get(target_id)
         if health is None:
             return
         region = self._region_by_id[health.target.region]
-        news = health.suspect or region.failures >= defaults.REGION_DEAD_FAILURES
+        news = health.is_suspect or region.failures >= defaults.REGION_DEAD_FAILURES
         region.failures = 0
-        health.answered(seconds, now)
+        health.record_answer(seconds, now)
         zone = health.target.zone
         mean = self._latency_by_zone.setdefault(zone, seconds)
         self._latency_by_zone[zone] = mean + ZONE_WEIGHT * (seconds - mean)
         if news:
             self.refresh(now)
 
-    def failed(self, target_id: TargetId, now: float) -> None:
+    def record_failure(self, target_id: TargetId, now: float) -> None:
         """Take in a failure of a target."""
-        health = self.by_id.get(target_id)
+        health = self.health_by_target.get(target_id)
         if health is None:
             return
         region = self._region_by_id[health.target.region]
         region.failures += 1
-        health.failed(now)
-        if health.suspect or region.failures == defaults.REGION_DEAD_FAILURES:
+        health.record_failure(now)
+        if health.is_suspect or region.failures == defaults.REGION_DEAD_FAILURES:
             self.refresh(now)
 
-    def usable(self, target_id: TargetId, now: float) -> bool:
+    def is_usable(self, target_id: TargetId, now: float) -> bool:
         """Whether a target may get requests that are not probes."""
-        health = self.by_id[target_id]
-        if health.paused(now):
+        health = self.health_by_target[target_id]
+        if health.is_backing_off(now):
             return False
         if self._all_lost:
             return True
         region = self._region_by_id[health.target.region]
         if region.failures >= defaults.REGION_DEAD_FAILURES:
             return False
-        return not health.dead if region.doubted else not health.looks_dead(now)
+        return not health.is_dead if region.doubted else not health.seems_dead(now)
 
-    def probe_due(self, target_id: TargetId, now: float) -> bool:
+    def is_probe_due(self, target_id: TargetId, now: float) -> bool:
         """Whether a target that is not usable may get one request to find out."""
-        health = self.by_id[target_id]
-        return not health.paused(now) and health.probe_due(now)
+        health = self.health_by_target[target_id]
+        return not health.is_backing_off(now) and health.is_probe_due(now)
 
-    def latency(self, target_id: TargetId, now: float) -> float:
+    def expected_latency_s(self, target_id: TargetId, now: float) -> float:
         """Seconds until a target's answer is to be expected."""
-        health = self.by_id[target_id]
+        health = self.health_by_target[target_id]
         prior = self._latency_by_zone.get(health.target.zone, UNKNOWN_LATENCY_S)
-        return health.latency(prior, now)
+        return health.expected_latency_s(prior, now)
--- a/src/coralfall/balancing/lending.py
+++ b/src/coralfall/balancing/lending.py
@@ -85,7 +85,7 @@
         self._loan_by_id[loan_id] = loan
         return LoanAnswer(loan_id=loan_id, slots=tuple(loan.slot_by_key), seconds=seconds)
 
-    def returned(self, borrower: EntryId, message: LoanReturn) -> t.Set[ServiceId]:
+    def accept_return(self, borrower: EntryId, message: LoanReturn) -> t.Set[ServiceId]:
         """Take back what a borrower will not use again.
 
         A message that fits no loan is void, above all one that comes so late that its slots
@@ -101,13 +101,13 @@
         for lent in message.slots:
             slot = loan.slot_by_key.pop(lent, None)
             if slot is not None:
-                self._slots.take_back(slot)
+                self._slots.reclaim(slot)
                 services.add(slot.service)
         if not loan.slot_by_key:
             del self._loan_by_id[message.loan_id]
         return services
 
-    def lent(self) -> int:
+    def lent_count(self) -> int:
         """Slots that are out on loan."""
         self._forget_expired()
         return sum(len(loan.slot_by_key) for loan in self._loan_by_id.values())
@@ -128,7 +128,7 @@
                 del self._loan_by_id[loan_id]
 
 
-class Ask(msgspec.Struct, frozen=True, eq=False):
+class PendingLoanRequest(msgspec.Struct, frozen=True, eq=False):
     """A request for a loan that is out."""
 
     peer: EntryId
@@ -137,7 +137,7 @@
     sent_at: float
 
 
-class Return(msgspec.Struct, frozen=True):
+class OutgoingReturn(msgspec.Struct, frozen=True):
     """A message that gives slots back, and whom to send it to."""
 
     peer: EntryId
@@ -172,21 +172,21 @@
         self._clock = clock
         self._rng = rng
         self._idle_by_peer: t.Dict[EntryId, _Idle] = {}
-        self._asks_by_service: t.Dict[ServiceId, t.List[Ask]] = {}
+        self._asks_by_service: t.Dict[ServiceId, t.List[PendingLoanRequest]] = {}
         self._refusals: t.Dict[t.Tuple[EntryId, ServiceId], _Refusal] = {}
         self._borrowed: t.List[Slot] = []
 
-    def heard(self, peer: EntryId, idle: t.Mapping[ServiceId, int]) -> None:
+    def record_heartbeat(self, peer: EntryId, idle: t.Mapping[ServiceId, int]) -> None:
         """Take in a peer's heartbeat."""
         self._idle_by_peer[peer] = _Idle(self._clock.monotonic(), dict(idle))
 
-    def forget(self, peer: EntryId) -> None:
+    def forget_peer(self, peer: EntryId) -> None:
         """Stop asking a peer that is gone."""
         self._idle_by_peer.pop(peer, None)
 
-    def ask(
+    def create_request(
         self, service: ServiceId, count: int, regions: t.Sequence[RegionId] = ()
-    ) -> t.Optional[Ask]:
+    ) -> t.Optional[PendingLoanRequest]:
         """Make a request for a loan, or ``None`` if there is no one to ask.
 
         Send it at once and call :meth:`answered` or :meth:`failed` with it.
@@ -208,39 +208,39 @@
             # Until the next heartbeat, do not count on what was asked for already.
             known.count_by_service[service] -= count
         request = LoanRequest(service=service, count=count, regions=tuple(regions))
-        ask = Ask(peer, request, self._clock.monotonic())
+        ask = PendingLoanRequest(peer, request, self._clock.monotonic())
         asks.append(ask)
         return ask
 
-    def answered(self, ask: Ask, answer: LoanAnswer) -> t.List[Return]:
+    def accept_answer(self, ask: PendingLoanRequest, answer: LoanAnswer) -> t.List[OutgoingReturn]:
         """Take in the answer to a request.
 
         :return: slots to give back at once: the answer came too late, or a limit that is
             known here does not allow them.
         """
-        self.failed(ask)
+        self.discard_request(ask)
         self._note_refusal(ask, answer)
         valid_until = ask.sent_at + answer.seconds
         unusable = []
         for lent in answer.slots:
             slot = None
             if self._clock.monotonic() < valid_until:
-                slot = self._slots.borrow(lent, (ask.peer, answer.loan_id), valid_until)
+                slot = self._slots.add_borrowed(lent, (ask.peer, answer.loan_id), valid_until)
             if slot is None:
                 unusable.append(lent)
                 continue
             self._borrowed.append(slot)
         if not unusable:
             return []
-        return [Return(ask.peer, LoanReturn(loan_id=answer.loan_id, slots=tuple(unusable)))]
+        return [OutgoingReturn(ask.peer, LoanReturn(loan_id=answer.loan_id, slots=tuple(unusable)))]
 
-    def failed(self, ask: Ask) -> None:
+    def discard_request(self, ask: PendingLoanRequest) -> None:
         """Take in that no answer will come."""
         asks = self._asks_by_service.get(ask.request.service, [])
         if ask in asks:
             asks.remove(ask)
 
-    def due_returns(self) -> t.List[Return]:
+    def due_returns(self) -> t.List[OutgoingReturn]:
         """Give back what has expired or lies idle; call it several times a second.
 
         What a request holds stays until the request is over, even beyond the loan's time.
@@ -254,19 +254,19 @@
                 kept.append(slot)
                 continue
             assert slot.loan is not None
-            self._slots.give_back(slot)
+            self._slots.remove_borrowed(slot)
             due.setdefault(slot.loan, []).append(LentSlot(slot.target_id, slot.index))
         self._borrowed = kept
         returns = []
         for (peer, loan_id), lent in due.items():
-            returns.append(Return(peer, LoanReturn(loan_id=loan_id, slots=tuple(lent))))
+            returns.append(OutgoingReturn(peer, LoanReturn(loan_id=loan_id, slots=tuple(lent))))
         return returns
 
-    def borrowed(self) -> int:
+    def borrowed_count(self) -> int:
         """Slots that are borrowed, whether in use or not."""
         return len(self._borrowed)
 
-    def _note_refusal(self, ask: Ask, answer: LoanAnswer) -> None:
+    def _note_refusal(self, ask: PendingLoanRequest, answer: LoanAnswer) -> None:
         key = (ask.peer, ask.request.service)
         if answer.slots:
             self._refusals.pop(key, None)
@@ -279,7 +279,7 @@
 
     def _choose(self, service: ServiceId, regions: t.Sequence[RegionId]) -> t.Optional[EntryId]:
         """An owner that may have something to lend, those first that said so."""
-        owned = self._slots.owners(service, regions)
+        owned = self._slots.slots_by_owner(service, regions)
         asked = {ask.peer for ask in self._asks_by_service.get(service, [])}
         now = self._clock.monotonic()
         chances: t.Dict[EntryId, int] = {}
--- a/src/coralfall/balancing/limits.py
+++ b/src/coralfall/balancing/limits.py
@@ -20,7 +20,7 @@
 from .. import defaults
 from ..bundles.bundle import Bundle
 from ..ids import BundleVersion, PartnerId, RegionId, ServiceId, TargetId
-from .capacity import Pool, places_of, pool_limit, pools, reserved_slots, usable_slots
+from .capacity import Pool, placed_targets, pool_limit, pools, reserved_slots, usable_slots
 
 if t.TYPE_CHECKING:
     from ..process.clock import Clock
@@ -51,7 +51,7 @@
 
     def __init__(self, bundles: t.Mapping[PartnerId, Bundle]) -> None:
         self.bundles = bundles
-        self._places = places_of(bundles)
+        self._places = placed_targets(bundles)
         self.reserved_by_id = reserved_slots(bundles)
         self.members_by_pool = pools(bundles)
         self.limit_by_pool = {pool: pool_limit(bundles, pool) for pool in self.members_by_pool}
--- a/src/coralfall/balancing/link.py
+++ b/src/coralfall/balancing/link_limiter.py
@@ -65,7 +65,7 @@
         self.ready_at = -float("inf")
 
 
-class LinkAllowance:
+class LinkLimiter:
     """Tells senders how long to wait so that each region's rate is kept.
 
     Over any ``t`` seconds no more is let through than ``rate * (t + LINK_BURST_S)`` and the
--- a/src/coralfall/balancing/owned_slots.py
+++ b/src/coralfall/balancing/owned_slots.py
@@ -8,16 +8,16 @@
 
 from .. import defaults
 from ..ids import EntryId, RegionId, Revision, ServiceId, TargetId
-from .handover import Ack, Handover, Settled
+from .handover import Ack, Handover, ResolvedMembers
 from .owner_counts import OwnerCounts
-from .ownership import owned_indices, wins
-from .slot import NEVER, Slot
+from .ownership import owned_indices, retained_indices
+from .slot import INFINITY, Slot
 
 if t.TYPE_CHECKING:
     from ..cluster.roster import Roster
     from ..process.clock import Clock
-    from .holdings import Holdings
     from .limits import Limits, TargetLimit
+    from .slot_inventory import SlotInventory
 
 #: Targets worked through in one step of :meth:`OwnedSlots.steps`.
 TARGETS_PER_STEP = 8
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, entry_id: EntryId, holdings: "Holdings", clock: "Clock", lapse_s: float
+        self, entry_id: EntryId, holdings: "SlotInventory", clock: "Clock", lapse_s: float
     ) -> None:
         self._entry_id = entry_id
         self._holdings = holdings
@@ -46,7 +46,7 @@
         self._handover = Handover(entry_id)
         self._others: t.Set[EntryId] = set()
         self._first = False
-        self._changed_at = -NEVER
+        self._changed_at = -INFINITY
         self._unscanned: t.Dict[TargetId, None] = {}
         self._owners = OwnerCounts(entry_id)
 
@@ -57,11 +57,11 @@
         if roster.revision != self._handover.revision:
             self._take_roster(roster)
 
-    def take_acks(self, acks: t.Iterable[Ack]) -> None:
+    def apply_acks(self, acks: t.Iterable[Ack]) -> None:
         """Take in which rosters other members have applied."""
-        self._settle(self._handover.take(acks))
+        self._settle(self._handover.apply_acks(acks))
 
-    def steps(self) -> t.Iterator[None]:
+    def update_steps(self) -> t.Iterator[None]:
         """Find what is gained, a few milliseconds a step, and then end."""
         while self._unscanned:
             for _ in range(min(TARGETS_PER_STEP, len(self._unscanned))):
@@ -70,20 +70,22 @@
             yield
 
     @property
-    def awaited(self) -> t.Collection[EntryId]:
+    def awaited_members(self) -> t.Collection[EntryId]:
         """Members whose acknowledgement is needed."""
-        return self._handover.awaited.keys()
+        return self._handover.awaited_members.keys()
 
     @property
     def revision(self) -> Revision:
         """Of the roster that was taken in last."""
         return self._handover.revision
 
-    def owners(self, service: ServiceId, regions: t.Collection[RegionId]) -> t.Dict[EntryId, int]:
+    def slots_by_owner(
+        self, service: ServiceId, regions: t.Collection[RegionId]
+    ) -> t.Dict[EntryId, int]:
         """How many slots of the service each other member owns; see :class:`OwnerCounts`."""
         return self._owners.of_service(service, regions, self.limits)
 
-    def forget_lost(self, slot: Slot) -> None:
+    def discard_lost(self, slot: Slot) -> None:
         """Forget a slot with nothing out on it any more, if it was lost."""
         if self._holdings.lost_by_key.get(slot.key) is not slot:
             return
@@ -95,7 +97,7 @@
     def _take_limits(self, limits: "Limits") -> None:
         before = self.limits
         self.limits = limits
-        self._holdings.forget_services()
+        self._holdings.clear_service_cache()
         for target_id, limit in limits.items():
             old = before.get(target_id)
             if old is limit:
@@ -117,12 +119,12 @@
 
     def _take_roster(self, roster: "Roster") -> None:
         now = self._clock.monotonic()
-        lives, others = self._handover.lives, self._others
+        lives, others = self._handover.join_count, self._others
         settled = self._handover.update(roster)
         self._changed_at = now
         for slot in list(self._holdings.lost_by_key.values()):
             if not slot.busy and slot.lent_until <= now:
-                self.forget_lost(slot)
+                self.discard_lost(slot)
         incarnation = self._handover.incarnation
         self._others = {name for name in roster.by_id if name != self._entry_id}
         self._owners.set_others(self._others)
@@ -131,7 +133,7 @@
             self._unscanned = {}
             return
         self._first = roster.only_ever(self._entry_id, incarnation)
-        if self._handover.lives != lives:
+        if self._handover.join_count != lives:
             self._drop_all()
             self._unscanned = dict.fromkeys(self.limits)
             return
@@ -140,7 +142,7 @@
             self._unscanned = dict.fromkeys(self.limits)
         self._settle(settled)
 
-    def _settle(self, settled: Settled) -> None:
+    def _settle(self, settled: ResolvedMembers) -> None:
         """Rest the slots of members that were waited for, now that they are settled."""
         if not settled.acked and not settled.removed:
             return
@@ -163,10 +165,10 @@
         if self._handover.incarnation is None:
             return
         for index in owned_indices(target_id, limit.reserved, self._entry_id, self._others):
-            slot = self._holdings.owned(target_id, index)
+            slot = self._holdings.owned_slot(target_id, index)
             slot = slot or self._gain(target_id, index, limit)
             if slot is not None and slot.blocker is _UNSETTLED:
-                slot.blocker = self._handover.blocker(target_id, index)
+                slot.blocker = self._handover.blocking_member(target_id, index)
 
     def _gain(self, target_id: TargetId, index: int, limit: "TargetLimit") -> t.Optional[Slot]:
         slot = self._holdings.lost_by_key.get((target_id, index))
@@ -177,7 +179,7 @@
         if not self._first:
             slot.rests_from = self._changed_at + self._lapse_s
         slot.blocker = _UNSETTLED
-        self._holdings.own(slot)
+        self._holdings.add_owned(slot)
         return slot
 
     def _drop_all(self) -> None:
@@ -188,7 +190,7 @@
         if not joined:
             return
         for target_id, owned in list(self._holdings.owned_by_target.items()):
-            kept = wins(target_id, owned, self._entry_id, joined)
+            kept = retained_indices(target_id, owned, self._entry_id, joined)
             for index in set(owned).difference(kept):
                 self._drop(target_id, index)
 
@@ -198,6 +200,6 @@
                 self._drop(target_id, index)
 
     def _drop(self, target_id: TargetId, index: int) -> None:
-        slot = self._holdings.disown(target_id, index)
+        slot = self._holdings.remove_owned(target_id, index)
         if slot.busy or slot.lent_until > self._clock.monotonic():
             self._holdings.lost_by_key[slot.key] = slot
--- a/src/coralfall/balancing/owner_counts.py
+++ b/src/coralfall/balancing/owner_counts.py
@@ -3,7 +3,7 @@
 import typing as t
 
 from ..ids import EntryId, RegionId, ServiceId, TargetId
-from .ownership import owners_of
+from .ownership import count_by_owner
 
 if t.TYPE_CHECKING:
     from .limits import Limits, TargetLimit
@@ -58,7 +58,7 @@
         owners = self._by_target.get(target_id)
         if owners is None:
             members = {*self._others, self._entry_id}
-            owners = owners_of(target_id, min(limit.usable, limit.reserved), members)
+            owners = count_by_owner(target_id, min(limit.usable, limit.reserved), members)
             owners.pop(self._entry_id, None)
             self._by_target[target_id] = owners
         return owners
--- a/src/coralfall/balancing/ownership.py
+++ b/src/coralfall/balancing/ownership.py
@@ -35,7 +35,7 @@
     return owned
 
 
-def wins(
+def retained_indices(
     target_id: TargetId, indices: t.Iterable[int], entry_id: EntryId, others: t.Iterable[EntryId]
 ) -> t.List[int]:
     """Which of the given slots of a target an entry does not lose to any of the others."""
@@ -49,7 +49,9 @@
     return won
 
 
-def ranked(target_id: TargetId, index: int, members: t.Iterable[EntryId]) -> t.List[EntryId]:
+def ranked_members(
+    target_id: TargetId, index: int, members: t.Iterable[EntryId]
+) -> t.List[EntryId]:
     """Members in the order in which they would own a slot, its owner first."""
     place = index % SLOTS_PER_DIGEST
     state = _state(target_id, index - place)
@@ -57,7 +59,7 @@
     return [entry_id for _, entry_id in sorted(scored, reverse=True)]
 
 
-def owners_of(
+def count_by_owner(
     target_id: TargetId, slots: int, members: t.Iterable[EntryId]
 ) -> t.Dict[EntryId, int]:
     """How many of a target's slots each member owns; members that own none are left out."""
@@ -78,7 +80,7 @@
     entry_id: EntryId,
     others: t.Iterable[EntryId],
 ) -> t.List[int]:
-    """As :func:`wins`, for indices that share one digest."""
+    """As :func:`retained_indices`, for indices that share one digest."""
     first = indices[0] - indices[0] % SLOTS_PER_DIGEST
     state = _state(target_id, first)
     mine = _score(state, entry_id)
--- a/src/coralfall/balancing/ramp.py
+++ b/src/coralfall/balancing/ramp.py
@@ -19,7 +19,7 @@
     return max(min(1, slots), int(slots * part))
 
 
-def backoff(failures: int) -> float:
+def probe_backoff_s(failures: int) -> float:
     """Seconds to leave a target alone after so many failed probes, doubling up to a bound."""
     seconds = defaults.PROBE_BACKOFF_S * 2.0 ** min(failures, 10)
     return min(seconds, defaults.PROBE_BACKOFF_MAX_S)
--- a/src/coralfall/balancing/routing.py
+++ b/src/coralfall/balancing/routing.py
@@ -9,7 +9,7 @@
 from ..exceptions import RefusedError
 from ..ids import PolicyName, RegionId, ServiceId, TargetId, ZoneId
 from .health import ServiceHealth
-from .shift import ShiftGovernor
+from .shift import ShiftLimiter
 
 #: Seconds between two reckonings of what changes slowly (load, latency, shares).
 REFRESH_S = 0.05
@@ -101,14 +101,14 @@
         self,
         service_id: ServiceId,
         service: Service,
-        governor: ShiftGovernor,
+        shift_limiter: ShiftLimiter,
         health: ServiceHealth,
         now: float,
     ) -> None:
         self.service_id = service_id
-        self.governor = governor
+        self.shift_limiter = shift_limiter
         self.health = health
-        self.by_id: t.Dict[TargetId, Candidate] = {}
+        self.candidate_by_id: t.Dict[TargetId, Candidate] = {}
         self._service = service
         self._policy = policy_for(service.policy)
         self._refreshed_at = now
@@ -116,12 +116,12 @@
     def set_targets(self, targets_by_id: t.Mapping[TargetId, Target], now: float) -> None:
         """Know just these targets; those that are leaving are to be left out."""
         self.health.set_targets(targets_by_id, now)
-        for target_id in list(self.by_id):
+        for target_id in list(self.candidate_by_id):
             if target_id not in targets_by_id:
-                del self.by_id[target_id]
+                del self.candidate_by_id[target_id]
         for target_id, target in targets_by_id.items():
-            known = self.by_id.get(target_id)
-            self.by_id[target_id] = Candidate(
+            known = self.candidate_by_id.get(target_id)
+            self.candidate_by_id[target_id] = Candidate(
                 target_id=target_id,
                 region=target.region,
                 zone=target.zone,
@@ -139,14 +139,14 @@
         :param planned: planned shares now.
         :param prior: share of its own slots of the service that this entry uses.
         """
-        if not self.due(now):
+        if not self.is_refresh_due(now):
             return
         self._refreshed_at = now
         if service is not self._service:
             self._service = service
             self._policy = policy_for(service.policy)
         self.health.refresh(now)
-        self.governor.advance(service, planned, self.health.serving, now)
+        self.shift_limiter.advance(service, planned, self.health.serving_regions, now)
         self._reckon(prior, now)
 
     @property
@@ -154,13 +154,13 @@
         """The policy in force."""
         return self._service.policy
 
-    def due(self, now: float) -> bool:
+    def is_refresh_due(self, now: float) -> bool:
         """Whether :meth:`refresh` would do anything; spares working out what it is given."""
         return now - self._refreshed_at >= REFRESH_S
 
-    def offer(self) -> None:
+    def count_request(self) -> None:
         """Count one request of a caller, once however often it is tried."""
-        self.governor.offer()
+        self.shift_limiter.count_request()
 
     def choose(
         self,
@@ -176,26 +176,26 @@
         :param probe: whether the request may find out if a suspected target is back.
         :raises RefusedError: if there is none now.
         """
-        allowed = self.governor.allowed(bool(tried))
+        allowed = self.shift_limiter.allowed_regions(bool(tried))
         best = self._best(allowed, free_by_id, tried, now, probe)
         if best is None and not tried:
-            best = self._best(self.governor.stretched(), free_by_id, tried, now, False)
+            best = self._best(self.shift_limiter.overdraft_regions(), free_by_id, tried, now, False)
         if best is None:
             raise self._refused(allowed)
         return self._take(best)
 
-    def put_back(self, candidate: Candidate) -> None:
+    def undo_choice(self, candidate: Candidate) -> None:
         """Count a request as not sent to the target chosen for it after all."""
-        self.governor.put_back(candidate.region)
-        self.finished(candidate.target_id)
+        self.shift_limiter.refund(candidate.region)
+        self.count_finished(candidate.target_id)
 
-    def refuse(self) -> None:
+    def count_refused(self) -> None:
         """Count a request as given up before any target saw it."""
-        self.governor.refuse()
+        self.shift_limiter.count_refused()
 
-    def finished(self, target_id: TargetId) -> None:
+    def count_finished(self, target_id: TargetId) -> None:
         """Count a request as over; its result is told to :attr:`health`."""
-        candidate = self.by_id.get(target_id)
+        candidate = self.candidate_by_id.get(target_id)
         if candidate is not None and candidate.in_flight > 0:
             candidate.in_flight -= 1
             candidate.load = max(0.0, candidate.load - 1 / candidate.slots)
@@ -213,7 +213,7 @@
         for target_id, free in free_by_id.items():
             if free <= 0 or target_id in tried:
                 continue
-            candidate = self.by_id.get(target_id)
+            candidate = self.candidate_by_id.get(target_id)
             if candidate is None:
                 continue
             if candidate.suspect:
@@ -229,45 +229,45 @@
         return best
 
     def _may_probe(self, candidate: Candidate, now: float) -> bool:
-        if not self.health.probe_due(candidate.target_id, now):
+        if not self.health.is_probe_due(candidate.target_id, now):
             return False
-        if not self.governor.allows_probe(candidate.region):
+        if not self.shift_limiter.is_probe_allowed(candidate.region):
             return False
-        self.health.by_id[candidate.target_id].probe(now)
+        self.health.health_by_target[candidate.target_id].start_probe(now)
         return True
 
     def _take(self, candidate: Candidate) -> Candidate:
-        self.governor.take(candidate.region)
+        self.shift_limiter.charge(candidate.region)
         candidate.in_flight += 1
         candidate.load += 1 / candidate.slots
         return candidate
 
-    def busy(self) -> RefusedError:
+    def busy_error(self) -> RefusedError:
         """The answer for a request that waited for a slot in vain."""
         message = "every target that may take the request is busy; retry later"
         return RefusedError(message, self._busy_s(), service=self.service_id)
 
     def _refused(self, allowed: t.Collection[RegionId]) -> RefusedError:
         if allowed:
-            return self.busy()
+            return self.busy_error()
         message = "no region may take more of the service's requests yet; retry later"
-        return RefusedError(message, self.governor.retry_after(), service=self.service_id)
+        return RefusedError(message, self.shift_limiter.retry_after_s(), service=self.service_id)
 
     def _busy_s(self) -> float:
         seconds = 0.05
-        for candidate in self.by_id.values():
+        for candidate in self.candidate_by_id.values():
             seconds = max(seconds, candidate.latency_s)
         return min(seconds, 1.0)
 
     def _reckon(self, prior: float, now: float) -> None:
         loads_by_region: t.Dict[RegionId, t.List[float]] = {}
-        for target_id, candidate in self.by_id.items():
-            health = self.health.by_id[target_id]
+        for target_id, candidate in self.candidate_by_id.items():
+            health = self.health.health_by_target[target_id]
             own = candidate.in_flight / max(1, candidate.slots)
             candidate.load = health.load(own, prior, now)
-            candidate.latency_s = self.health.latency(target_id, now)
-            candidate.suspect = not self.health.usable(target_id, now)
+            candidate.latency_s = self.health.expected_latency_s(target_id, now)
+            candidate.suspect = not self.health.is_usable(target_id, now)
             loads_by_region.setdefault(candidate.region, []).append(candidate.load)
-        for candidate in self.by_id.values():
+        for candidate in self.candidate_by_id.values():
             loads = loads_by_region[candidate.region]
             candidate.region_load = sum(loads) / len(loads)
--- a/src/coralfall/balancing/served.py
+++ b/src/coralfall/balancing/served_services.py
@@ -13,11 +13,11 @@
 from .drain import DrainTracker
 from .health import ServiceHealth
 from .limits import CapacityLimits
-from .link import LinkAllowance, link_rates
+from .link_limiter import LinkLimiter, link_rates
 from .routing import Router
-from .shift import ShiftGovernor
+from .shift import ShiftLimiter
 from .shift_plan import Shares, planned_shares
-from .waiters import Waiters
+from .wait_queue import WaitQueue
 
 if t.TYPE_CHECKING:
     from ..cluster.roster import Roster
@@ -39,7 +39,7 @@
         self.partner = partner
         self.router = router
         #: Requests that wait for a slot.
-        self.waiters = Waiters()
+        self.wait_queue = WaitQueue()
 
 
 class ServedServices:
@@ -68,28 +68,28 @@
         self._limits = CapacityLimits(clock)
         #: The bundles that are served under, by partner.
         self.bundle_by_partner: t.Dict[PartnerId, Bundle] = {}
-        self.by_key: t.Dict[ServiceKey, ServedService] = {}
+        self.service_by_key: t.Dict[ServiceKey, ServedService] = {}
         self.drains = DrainTracker()
-        self.links = LinkAllowance(clock)
+        self.link_limiter = LinkLimiter(clock)
         #: What all entries together may do with each target, as of the last refresh.
         self.limits: "Limits" = {}
 
     def service_ids(self) -> t.List[ServiceId]:
         """All services in force, of all partners."""
-        return [service for _, service in self.by_key]
+        return [service for _, service in self.service_by_key]
 
     def routers(self) -> t.Dict[ServiceKey, Router]:
         """The routers of all services, for status and metrics."""
-        return {key: served.router for key, served in self.by_key.items()}
+        return {key: served.router for key, served in self.service_by_key.items()}
 
     def wake(self, service: t.Optional[ServiceId] = None) -> None:
         """Let requests that wait for a slot look again.
 
         :param service: whose requests; by default those of all services.
         """
-        for (_, service_id), served in self.by_key.items():
+        for (_, service_id), served in self.service_by_key.items():
             if service is None or service_id == service:
-                served.waiters.wake()
+                served.wait_queue.wake_first()
 
     def refresh(self) -> None:
         """Take in bundles, roster and time as they are now.
@@ -125,9 +125,9 @@
         self.limits = self._limits.update(accepted, staged, accepted_at, now)
         self._slots.update(self._roster, self.limits)
         held_by_region = self._slots.held_by_region()
-        self.links.set_rates(link_rates([accepted, staged], self.limits, held_by_region))
+        self.link_limiter.set_rates(link_rates([accepted, staged], self.limits, held_by_region))
 
-    def planned(self, partner: PartnerId, service_id: ServiceId, rules: Service) -> Shares:
+    def planned_shares(self, partner: PartnerId, service_id: ServiceId, rules: Service) -> Shares:
         """The shares of a service's regions as its bundle plans them for this moment."""
         rollout = self._rollouts[partner]
         bundle = rollout.accepted()
@@ -137,14 +137,14 @@
 
     def _take_bundle(self, partner: PartnerId, bundle: Bundle) -> None:
         now = self._clock.monotonic()
-        for key in list(self.by_key):
+        for key in list(self.service_by_key):
             if key[0] == partner and key[1] not in bundle.services:
-                self.by_key.pop(key).waiters.wake()
+                self.service_by_key.pop(key).wait_queue.wake_first()
         for service_id, service in bundle.services.items():
-            served = self.by_key.get((partner, service_id))
+            served = self.service_by_key.get((partner, service_id))
             if served is None:
                 served = self._new(partner, service_id, service, now)
-                self.by_key[partner, service_id] = served
+                self.service_by_key[partner, service_id] = served
             serving = {}
             for target_id, target in bundle.targets.items():
                 if target.service == service_id and target.state is not TargetState.LEAVING:
@@ -154,10 +154,10 @@
     def _new(
         self, partner: PartnerId, service_id: ServiceId, service: Service, now: float
     ) -> ServedService:
-        planned = self.planned(partner, service_id, service)
-        governor = ShiftGovernor(service_id, service, planned, now)
+        planned = self.planned_shares(partner, service_id, service)
+        shift_limiter = ShiftLimiter(service_id, service, planned, now)
         health = ServiceHealth(service.ramp_s)
-        return ServedService(partner, Router(service_id, service, governor, health, now))
+        return ServedService(partner, Router(service_id, service, shift_limiter, health, now))
 
     def _mark_drains(self) -> None:
         leaving: t.List[TargetId] = []
--- a/src/coralfall/balancing/shift.py
+++ b/src/coralfall/balancing/shift.py
@@ -1,6 +1,6 @@
 """Shift: how much of a service's traffic may go to each region now, under its shift cap.
 
-Every entry holds the same line of shares (:mod:`.shift_plan`), and a governor that keeps what the
+Every entry holds the same line of shares (:mod:`.shift_plan`), and a shift_limiter that keeps what the
 entry itself sends close to that line. Nothing is agreed between entries on the way.
 """
 
@@ -8,13 +8,13 @@
 
 from ..bundles.bundle import Service
 from ..ids import RegionId, ServiceId
-from .shift_plan import TINY, Shares, normalised, split_cap
+from .shift_plan import EPSILON, Shares, normalised, split_cap
 
 #: Most by which a region's count exceeds its ceiling over any run of one entry's requests,
-#: when there are too few of them for ``STRETCH_PART`` to allow as much.
+#: when there are too few of them for ``OVERDRAFT_PART`` to allow as much.
 COUNT_SLACK = 3
 #: The same when there are many.
-MAX_STRETCH = 16
+MAX_OVERDRAFT = 16
 #: Share of refusals above which a region is taken to be full, and seconds of memory for it.
 FULL_SHARE = 0.02
 FULL_MEMORY_S = 1.0
@@ -48,7 +48,7 @@
         self.full = 0.0
 
 
-class ShiftGovernor:
+class ShiftLimiter:
     """Keeps one entry's requests of one service within the shift cap.
 
     **Position.** The governor holds a share for each region, ``q``. It starts on the planned
@@ -84,7 +84,7 @@
     the line moves in two windows and the skew. ``slack`` is ``1 + 2 debt`` for each region and
     entry over the window's requests. ``2 debt`` is 0.3 of the cap of the requests that a
     window is expected to have, all regions together: 0.3 cap, if requests come evenly (when
-    they stop short, up to ``MAX_STRETCH`` requests a region and entry may be over). The 0.05
+    they stop short, up to ``MAX_OVERDRAFT`` requests a region and entry may be over). The 0.05
     that is left is for the ones: fewer than ``20 * entries * regions / cap`` requests in a
     window are too few for it.
 
@@ -159,10 +159,10 @@
             self._note_serving(account, region in serving)
             self._note_fullness(account, seconds)
         self._fade_lost(seconds)
-        self._move(self._goal(planned), self._parts.rate * seconds)
+        self._move(self._goal(planned), self._parts.rate_per_s * seconds)
         self._set_inflows()
 
-    def offer(self) -> None:
+    def count_request(self) -> None:
         """Count one request of a caller, before :meth:`allows` is asked for it."""
         self._offered += 1
         for account in self._by_region.values():
@@ -170,7 +170,7 @@
         refusals = self._refusals
         refusals.credit = min(refusals.credit + refusals.inflow, self._most_credit)
 
-    def allowed(self, retry: bool = False) -> t.List[RegionId]:
+    def allowed_regions(self, retry: bool = False) -> t.List[RegionId]:
         """Regions that the request may go to.
 
         :param retry: whether it was sent to a region before; then only saved credit counts.
@@ -185,7 +185,7 @@
                 regions.append(region)
         return regions
 
-    def stretched(self) -> t.List[RegionId]:
+    def overdraft_regions(self) -> t.List[RegionId]:
         """Regions that the request may go to if no allowed one has room for it.
 
         What they get now they lack later.
@@ -196,11 +196,11 @@
                 regions.append(region)
         return regions
 
-    def allows(self, region: RegionId, retry: bool = False) -> bool:
+    def is_allowed(self, region: RegionId, retry: bool = False) -> bool:
         """Whether the request may go to ``region``."""
-        return region in self.allowed(retry)
+        return region in self.allowed_regions(retry)
 
-    def allows_probe(self, region: RegionId) -> bool:
+    def is_probe_allowed(self, region: RegionId) -> bool:
         """Whether one request may find out if a lost region is back.
 
         It counts like any other; a lost region has the credit of its fading share, and earns
@@ -208,19 +208,19 @@
         """
         return self._by_region[region].credit >= 1 if region in self._by_region else False
 
-    def take(self, region: RegionId) -> None:
+    def charge(self, region: RegionId) -> None:
         """Count the request as sent to ``region``, which must be allowed."""
         account = self._by_region[region]
         account.credit -= 1.0
         account.taken += 1
 
-    def put_back(self, region: RegionId) -> None:
+    def refund(self, region: RegionId) -> None:
         """Count the request that was last taken for ``region`` as not sent after all."""
         account = self._by_region[region]
         account.credit += 1.0
         account.taken -= 1
 
-    def refuse(self) -> t.Optional[RegionId]:
+    def count_refused(self) -> t.Optional[RegionId]:
         """Count the request as refused, in the name of whoever has the largest credit.
 
         :return: the region in whose name, which is lost or full; ``None`` if the request is one
@@ -237,13 +237,13 @@
         account.refused += 1
         return name
 
-    def retry_after(self) -> float:
+    def retry_after_s(self) -> float:
         """Seconds after which what is refused for want of share finds a region."""
         placed = 0.0
         for account in self._by_region.values():
             if account.serving:
                 placed += account.share
-        rate = max(self._parts.rate, TINY)
+        rate = max(self._parts.rate_per_s, EPSILON)
         return min(max((1 - placed) / rate, 0.1), self._service.shift_window_s)
 
     def _measure_rate(self, seconds: float) -> None:
@@ -254,8 +254,8 @@
         window = self._service.shift_window_s
         self._rate += min(1.0, seconds / window) * (rate - self._rate)
         requests = window * self._rate
-        stretch = self._parts.stretch * requests / max(1, len(self._by_region))
-        self._most_debt = max(1.0, min(stretch, MAX_STRETCH) / 2)
+        stretch = self._parts.overdraft * requests / max(1, len(self._by_region))
+        self._most_debt = max(1.0, min(stretch, MAX_OVERDRAFT) / 2)
         self._most_credit = 1 + self._most_debt
 
     def _credits(self) -> t.List[float]:
@@ -263,8 +263,8 @@
 
     def _share_on_return(self, lost: float) -> float:
         if lost <= 1:
-            return self._parts.back / max(lost, TINY)
-        return self._parts.back * max(0.0, 2 - lost)
+            return self._parts.return_share / max(lost, EPSILON)
+        return self._parts.return_share * max(0.0, 2 - lost)
 
     def _note_serving(self, account: _Account, serving: bool) -> None:
         if account.serving and not serving and account.served >= 1:
@@ -314,7 +314,7 @@
             if share > account.share:
                 wanted[region] = share - account.share
         total_wanted = sum(wanted.values())
-        if total_wanted <= TINY:
+        if total_wanted <= EPSILON:
             return
         part = min(1.0, budget / total_wanted)
         for region, share in wanted.items():
--- a/src/coralfall/balancing/shift_plan.py
+++ b/src/coralfall/balancing/shift_plan.py
@@ -15,37 +15,37 @@
 #: Part of the cap within which a policy may prefer one region over another.
 BAND_PART = 0.1
 #: Part of the cap by which single requests may leave the line, to be made good by later ones.
-STRETCH_PART = 0.3
+OVERDRAFT_PART = 0.3
 #: Part of the cap that a region may take at once when it comes back.
 RETURN_PART = 0.1
 #: Part of the cap kept for requests being whole numbers.
 COUNT_PART = 0.05
 
 #: Shares that differ by less are the same.
-TINY = 1e-9
+EPSILON = 1e-9
 
 
 class CapParts(t.NamedTuple):
-    """What a shift cap is split into; see :class:`.shift.ShiftGovernor` for the sum."""
+    """What a shift cap is split into; see :class:`.shift.ShiftLimiter` for the sum."""
 
     #: Share by which regions together may be above the line, for the policy to choose.
     band: float
     #: Share that the line may move within two windows and the clocks' skew.
     move: float
     #: Share that the line moves in a second.
-    rate: float
+    rate_per_s: float
     #: Share that a region may take at once when it comes back after a window.
-    back: float
+    return_share: float
     #: Share of a window's requests that may leave the line, all regions together.
-    stretch: float
+    overdraft: float
 
 
 def split_cap(service: Service) -> CapParts:
     """The parts of the cap of ``service``."""
     band = service.shift_cap * BAND_PART
     back = service.shift_cap * RETURN_PART / (1 + band)
-    stretch = service.shift_cap * STRETCH_PART
-    part = 1 - BAND_PART - STRETCH_PART - RETURN_PART - COUNT_PART
+    stretch = service.shift_cap * OVERDRAFT_PART
+    part = 1 - BAND_PART - OVERDRAFT_PART - RETURN_PART - COUNT_PART
     move = service.shift_cap * part / (1 + band)
     span = 2 * service.shift_window_s + defaults.MAX_CLOCK_SKEW_S
     return CapParts(band, move, move / span, back, stretch)
@@ -71,9 +71,9 @@
     if not start:
         return weights
     distance = moved_share(start, weights)
-    if distance <= TINY:
+    if distance <= EPSILON:
         return weights
-    way = split_cap(service).rate * max(0.0, now_platform - head.accepted_at)
+    way = split_cap(service).rate_per_s * max(0.0, now_platform - head.accepted_at)
     done = min(1.0, way / distance)
     shares: Shares = {}
     for region in sorted({*start, *weights}):
@@ -83,7 +83,9 @@
     return shares
 
 
-def shares_at(head: Head, bundle: Bundle, now_platform: float) -> t.Dict[ServiceId, Shares]:
+def planned_shares_by_service(
+    head: Head, bundle: Bundle, now_platform: float
+) -> t.Dict[ServiceId, Shares]:
     """Where all services of an accepted bundle stand, for the head that follows it.
 
     :param head: head by which ``bundle`` is accepted.
--- a/src/coralfall/balancing/slot.py
+++ b/src/coralfall/balancing/slot.py
@@ -8,7 +8,7 @@
 if t.TYPE_CHECKING:
     from .limits import TargetLimit
 
-NEVER = float("inf")
+INFINITY = float("inf")
 
 #: Target and index: what all entries call a slot by.
 SlotKey = t.Tuple[TargetId, int]
@@ -40,17 +40,17 @@
         #: Whether a request holds it.
         self.busy = False
         #: When the request that holds it must be over.
-        self.runs_until = -NEVER
+        self.runs_until = -INFINITY
         #: When a request last took it or gave it back.
-        self.used_at = -NEVER
+        self.used_at = -INFINITY
         #: Last moment at which an earlier owner may have dispatched into it.
-        self.rests_from = -NEVER
+        self.rests_from = -INFINITY
         #: Member that may still own it by an older roster.
         self.blocker: t.Optional[EntryId] = None
         #: When the last request of a borrower must be over.
-        self.lent_until = -NEVER
+        self.lent_until = -INFINITY
         #: End of a borrowed slot's time; an owned slot has none.
-        self.valid_until = NEVER
+        self.valid_until = INFINITY
         #: Lender and number of the loan, if it is borrowed.
         self.loan: t.Optional[t.Tuple[EntryId, int]] = None
 
--- a/src/coralfall/balancing/holdings.py
+++ b/src/coralfall/balancing/slot_inventory.py
@@ -9,7 +9,7 @@
     from .limits import Limits, TargetLimit
 
 
-class Holdings:
+class SlotInventory:
     """Slots by target; they say nothing of whether a slot may be used now."""
 
     def __init__(self) -> None:
@@ -45,21 +45,21 @@
         self._by_service[service] = found
         return found
 
-    def forget_services(self) -> None:
+    def clear_service_cache(self) -> None:
         """Work out anew which slots a service has, after limits have changed."""
         self._by_service = {}
 
-    def owned(self, target_id: TargetId, index: int) -> t.Optional[Slot]:
+    def owned_slot(self, target_id: TargetId, index: int) -> t.Optional[Slot]:
         """An owned slot, or ``None`` if it is not owned."""
         return self.owned_by_target.get(target_id, {}).get(index)
 
-    def own(self, slot: Slot) -> None:
+    def add_owned(self, slot: Slot) -> None:
         """Take a slot as owned, lost before or not."""
         self.lost_by_key.pop(slot.key, None)
         self.owned_by_target.setdefault(slot.target_id, {})[slot.index] = slot
         self._by_service = {}
 
-    def disown(self, target_id: TargetId, index: int) -> Slot:
+    def remove_owned(self, target_id: TargetId, index: int) -> Slot:
         """Let go of an owned slot."""
         owned = self.owned_by_target[target_id]
         slot = owned.pop(index)
@@ -68,12 +68,12 @@
             del self.owned_by_target[target_id]
         return slot
 
-    def borrow(self, slot: Slot) -> None:
+    def add_borrowed(self, slot: Slot) -> None:
         """Take a slot as borrowed."""
         self._borrowed_by_target.setdefault(slot.target_id, []).append(slot)
         self._by_service = {}
 
-    def give_back(self, slot: Slot) -> None:
+    def remove_borrowed(self, slot: Slot) -> None:
         """Let go of a borrowed slot."""
         borrowed = self._borrowed_by_target[slot.target_id]
         borrowed.remove(slot)
--- a/src/coralfall/balancing/slots.py
+++ b/src/coralfall/balancing/slots.py
@@ -9,9 +9,9 @@
 from .. import defaults
 from ..ids import EntryId, RegionId, Revision, ServiceId, TargetId
 from .handover import Ack
-from .holdings import Holdings
 from .owned_slots import OwnedSlots
-from .slot import NEVER, Slot, may_use
+from .slot import INFINITY, Slot, may_use
+from .slot_inventory import SlotInventory
 from .usage import SlotUsage
 
 if t.TYPE_CHECKING:
@@ -38,7 +38,7 @@
         self._lease = lease
         self._clock = clock
         self._acknowledged = Revision(0)
-        self._holdings = Holdings()
+        self._holdings = SlotInventory()
         self._usage = SlotUsage()
         # A loan ends before its owner's lease, or else after no more than its own time.
         lapse_s = max(settings.ttl_s, defaults.LOAN_TTL_S)
@@ -58,27 +58,27 @@
         """
         self._owned_slots.update(roster, limits)
 
-    def take_acks(self, acks: t.Iterable[Ack]) -> None:
+    def apply_acks(self, acks: t.Iterable[Ack]) -> None:
         """Take in which rosters other members have applied, from lease rows or heartbeats.
 
         Go on with :meth:`steps`.
         """
-        self._owned_slots.take_acks(acks)
+        self._owned_slots.apply_acks(acks)
 
-    def steps(self) -> t.Iterator[None]:
+    def update_steps(self) -> t.Iterator[None]:
         """Work through what is left to do, a few milliseconds a step, and then end.
 
         The loop may do other work in between; what comes in meanwhile is worked through too.
         """
-        return self._owned_slots.steps()
+        return self._owned_slots.update_steps()
 
     @property
-    def awaited(self) -> t.Collection[EntryId]:
+    def awaited_members(self) -> t.Collection[EntryId]:
         """Members whose acknowledgement is needed; while there are any, read lease rows."""
-        return self._owned_slots.awaited
+        return self._owned_slots.awaited_members
 
     @property
-    def acknowledged(self) -> Revision:
+    def acknowledged_revision(self) -> Revision:
         """What to state as applied in heartbeats and the lease row."""
         now = self._clock.monotonic()
         for slot in self._holdings.lost_by_key.values():
@@ -99,7 +99,7 @@
         limit = self._owned_slots.limits.get(target_id)
         if limit is None:
             return None
-        self._usage.want(limit.service, self._clock.monotonic())
+        self._usage.record_demand(limit.service, self._clock.monotonic())
         for slot in self._free(target_id, below):
             self._hold(slot, limit)
             return slot
@@ -123,7 +123,7 @@
         if limit is None or slot.index >= limit.usable:
             return False
         if slot.loan is None:
-            owned = self._holdings.owned(slot.target_id, slot.index)
+            owned = self._holdings.owned_slot(slot.target_id, slot.index)
             if owned is not slot or not self._lease.may_dispatch():
                 return False
         slot.runs_until = now + limit.deadline_s
@@ -137,7 +137,7 @@
         slot.used_at = self._clock.monotonic()
         self._usage.end(slot)
         if slot.lent_until <= slot.used_at:
-            self._owned_slots.forget_lost(slot)
+            self._owned_slots.discard_lost(slot)
 
     # What the table tells.
 
@@ -210,14 +210,16 @@
 
     # Lending; see coralfall.balancing.lending.
 
-    def owners(self, service: ServiceId, regions: t.Collection[RegionId]) -> t.Dict[EntryId, int]:
+    def slots_by_owner(
+        self, service: ServiceId, regions: t.Collection[RegionId]
+    ) -> t.Dict[EntryId, int]:
         """How many slots of the service each other member owns, by the roster known here.
 
         In a large fleet a call works out some targets only, and further calls the others.
 
         :param regions: regions whose targets count; empty for any.
         """
-        return self._owned_slots.owners(service, regions)
+        return self._owned_slots.slots_by_owner(service, regions)
 
     def lend(self, slot: Slot, seconds: float) -> None:
         """Leave an idle slot to a borrower who may dispatch for ``seconds`` from now."""
@@ -225,13 +227,13 @@
         until = self._clock.monotonic() + seconds + timeout_s + defaults.HANDOVER_MARGIN_S
         slot.lent_until = until
 
-    def take_back(self, slot: Slot) -> None:
+    def reclaim(self, slot: Slot) -> None:
         """Use a lent slot again: the borrower has nothing on it and will not use it."""
-        slot.lent_until = -NEVER
+        slot.lent_until = -INFINITY
         if not slot.busy:
-            self._owned_slots.forget_lost(slot)
+            self._owned_slots.discard_lost(slot)
 
-    def borrow(
+    def add_borrowed(
         self, lent: "LentSlot", loan: t.Tuple[EntryId, int], valid_until: float
     ) -> t.Optional[Slot]:
         """Take in a borrowed slot; ``None`` if the limits known here do not allow it.
@@ -246,12 +248,12 @@
         slot.loan = loan
         slot.valid_until = valid_until
         slot.used_at = self._clock.monotonic()
-        self._holdings.borrow(slot)
+        self._holdings.add_borrowed(slot)
         return slot
 
-    def give_back(self, slot: Slot) -> None:
+    def remove_borrowed(self, slot: Slot) -> None:
         """Forget a borrowed slot that no request holds."""
-        self._holdings.give_back(slot)
+        self._holdings.remove_borrowed(slot)
 
     # Looking for slots.
 
--- a/src/coralfall/balancing/usage.py
+++ b/src/coralfall/balancing/usage.py
@@ -40,7 +40,7 @@
         """Requests that hold a slot of the service."""
         return self._in_flight_by_service.get(service, 0)
 
-    def want(self, service: ServiceId, now: float) -> None:
+    def record_demand(self, service: ServiceId, now: float) -> None:
         """Note that one more request wants a slot of the service."""
         peak = self._demand_by_service.get(service)
         if peak is None:
--- a/src/coralfall/balancing/waiters.py
+++ b/src/coralfall/balancing/wait_queue.py
@@ -4,7 +4,7 @@
 import typing as t
 
 
-class Waiters:
+class WaitQueue:
     """The waiting requests, each by an event that is set when its turn to look has come."""
 
     def __init__(self) -> None:
@@ -22,9 +22,9 @@
     def leave(self, event: asyncio.Event) -> None:
         """Wait no longer; the next may look."""
         self._events.remove(event)
-        self.wake()
+        self.wake_first()
 
-    def wake(self) -> None:
+    def wake_first(self) -> None:
         """Let the oldest look for a slot; when it has one, the next will."""
         if self._events:
             self._events[0].set()
@@ -36,7 +36,7 @@
             self._events[place].set()
 
 
-async def woken(event: asyncio.Event, seconds: float) -> bool:
+async def wait_for_turn(event: asyncio.Event, seconds: float) -> bool:
     """Whether it was a waiter's turn within ``seconds``."""
     if event.is_set():
         return True
--- a/src/coralfall/bundles/rollout.py
+++ b/src/coralfall/bundles/rollout.py
@@ -2,7 +2,7 @@
 
 import typing as t
 
-from ..balancing.capacity import stricter
+from ..balancing.capacity import stricter_bundle
 from ..ids import BundleVersion, Digest, PartnerId, Revision
 from .bundle import Bundle, Head, VersionRef
 
@@ -95,7 +95,7 @@
         if accepted is None:
             return None
         staged = self.staged()
-        self._effective = accepted if staged is None else stricter(accepted, staged)
+        self._effective = accepted if staged is None else stricter_bundle(accepted, staged)
         return self._effective
 
     def in_force_version(self) -> BundleVersion:
--- a/src/coralfall/cluster/control.py
+++ b/src/coralfall/cluster/control.py
@@ -149,7 +149,7 @@
 
     async def _take_acks(self) -> None:
         """Read what the members that this entry waits for have acknowledged."""
-        awaited = self._slots.awaited
+        awaited = self._slots.awaited_members
         if not awaited:
             return
         rows_by_key = await self._table.read([lease_key(entry_id) for entry_id in awaited])
@@ -159,10 +159,10 @@
                 continue
             lease = msgspec.msgpack.decode(row.value, type=LeaseRow)
             acks.append(Ack(EntryId(lease.entry_id), lease.incarnation, lease.roster_revision))
-        self._slots.take_acks(acks)
+        self._slots.apply_acks(acks)
 
     async def _work_through_slots(self) -> None:
-        for _ in self._slots.steps():
+        for _ in self._slots.update_steps():
             await asyncio.sleep(0)
 
     def _set_lookup(self) -> bool:
--- a/src/coralfall/cluster/conversation.py
+++ b/src/coralfall/cluster/conversation.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from ..balancing.handover import Ack
-from ..balancing.lending import Ask, Borrower, Lender, Return
+from ..balancing.lending import Borrower, Lender, OutgoingReturn, PendingLoanRequest
 from ..bundles.rollout import PartnerRollout
 from ..exceptions import PeerError
 from ..ids import BundleVersion, Digest, EntryId, PartnerId, RegionId, ServiceId
@@ -66,7 +66,7 @@
         self.control: t.Optional["Control"] = None
         self.services: t.Callable[[], t.Iterable[ServiceId]] = tuple
         #: Told of services whose lent slots came back.
-        self.slots_arrived: t.Callable[[ServiceId], None] = _nothing_waits
+        self.wake_waiters: t.Callable[[ServiceId], None] = _nothing_waits
 
     def members_by_id(self) -> t.Mapping[EntryId, Member]:
         return self._roster.by_id
@@ -86,7 +86,7 @@
             count = self._lender.lendable(service)
             if count:
                 idle[service] = count
-        acknowledged = self._slots.acknowledged
+        acknowledged = self._slots.acknowledged_revision
         behind = acknowledged != self._roster.revision
         return Heartbeat(
             roster_revision=self._roster.revision,
@@ -99,11 +99,11 @@
         )
 
     def on_heartbeat(self, peer: Hello, heartbeat: Heartbeat, asked_at: t.Optional[float]) -> None:
-        self._borrower.heard(peer.entry_id, heartbeat.idle)
+        self._borrower.record_heartbeat(peer.entry_id, heartbeat.idle)
         acknowledged = heartbeat.acknowledged
         if acknowledged is None:
             acknowledged = heartbeat.roster_revision
-        self._slots.take_acks([Ack(peer.entry_id, peer.incarnation, acknowledged)])
+        self._slots.apply_acks([Ack(peer.entry_id, peer.incarnation, acknowledged)])
         if asked_at is None:
             return
         self._membership.platform_clock.observe_peer(
@@ -143,8 +143,8 @@
         return self._lender.answer(peer.entry_id, request)
 
     def on_loan_return(self, peer: Hello, loan: LoanReturn) -> None:
-        for service in self._lender.returned(peer.entry_id, loan):
-            self.slots_arrived(service)
+        for service in self._lender.accept_return(peer.entry_id, loan):
+            self.wake_waiters(service)
 
 
 def _nothing_waits(service: ServiceId) -> None:
@@ -169,7 +169,7 @@
 
     def ask(self, service: ServiceId, count: int, regions: t.Sequence[RegionId]) -> None:
         """Ask a peer for slots of a service, if one is known that has some."""
-        ask = self._borrower.ask(service, count, regions)
+        ask = self._borrower.create_request(service, count, regions)
         if ask is not None:
             self._spawn(self._ask(ask))
 
@@ -185,22 +185,22 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _ask(self, ask: Ask) -> None:
+    async def _ask(self, ask: PendingLoanRequest) -> None:
         try:
             answer = await self._network.request_loan(ask.peer, ask.request)
         except PeerError as error:
-            self._borrower.failed(ask)
+            self._borrower.discard_request(ask)
             log.debug("loan.failed", peer=ask.peer, code=error.code)
             return
         except BaseException:
-            self._borrower.failed(ask)
+            self._borrower.discard_request(ask)
             raise
-        returns = self._borrower.answered(ask, answer)
-        self._steering.slots_arrived(ask.request.service)
+        returns = self._borrower.accept_answer(ask, answer)
+        self._steering.wake_waiters(ask.request.service)
         for unusable in returns:
             await self._give_back(unusable)
 
-    async def _give_back(self, due: Return) -> None:
+    async def _give_back(self, due: OutgoingReturn) -> None:
         try:
             await self._network.return_loan(due.peer, due.message)
         except PeerError as error:
--- a/src/coralfall/cluster/coordinator.py
+++ b/src/coralfall/cluster/coordinator.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..balancing.shift_plan import shares_at
+from ..balancing.shift_plan import planned_shares_by_service
 from ..bundles import line
 from ..bundles.bundle import VersionRef
 from ..bundles.remover import Remover
@@ -163,7 +163,7 @@
                 return
         now = self._membership.platform_clock.now()
         accepted = rollout.accepted()
-        shares = {} if accepted is None else shares_at(rollout.head, accepted, now)
+        shares = {} if accepted is None else planned_shares_by_service(rollout.head, accepted, now)
         try:
             head = await line.accept(
                 self._platform, rollout.head, rollout.revision, shares, now, [self._fence()]
--- a/src/coralfall/cluster/entry.py
+++ b/src/coralfall/cluster/entry.py
@@ -76,7 +76,7 @@
             NodeCallbacks(
                 make_member=self._make_member,
                 peer_fetch=self._fetch_from_peers,
-                ask_loan=self._ask_loan,
+                start_loan_request=self._ask_loan,
                 announce=self._announce,
                 roster_changed=self._pace_claims,
             ),
@@ -157,10 +157,10 @@
     async def _refresh_steering(self) -> None:
         node = self.node
         node.steering.refresh()
-        for _ in node.slots.steps():
+        for _ in node.slots.update_steps():
             await asyncio.sleep(0)
         self.loans.give_back_due()
-        node.steering.wake_all()
+        node.steering.wake_all_waiters()
 
     def _pace_claims(self) -> None:
         self.claims.pace(max(1, len(self.node.roster.by_id)))
--- a/src/coralfall/cluster/node.py
+++ b/src/coralfall/cluster/node.py
@@ -30,7 +30,7 @@
 from .rows import Member
 
 if t.TYPE_CHECKING:
-    from ..balancing.fleet_steering import AskLoan
+    from ..balancing.fleet_steering import StartLoanRequest
 
 
 class NodeCallbacks(t.NamedTuple):
@@ -41,7 +41,7 @@
     #: Gives an object that a peer holds.
     peer_fetch: PeerFetch
     #: Asks peers for slots.
-    ask_loan: "AskLoan"
+    start_loan_request: "StartLoanRequest"
     #: Spreads news to peers.
     announce: t.Callable[[], None]
     #: Told after each change of the roster.
@@ -79,7 +79,7 @@
             self.rollouts,
             self.lease,
             self._follow_roster,
-            lambda: self.slots.acknowledged,
+            lambda: self.slots.acknowledged_revision,
         )
         self.steering = FleetSteering(
             self.rollouts,
@@ -131,11 +131,11 @@
         )
         self.conversation.control = self.control
         self.conversation.services = self.steering.served.service_ids
-        self.conversation.slots_arrived = self.steering.slots_arrived
+        self.conversation.wake_waiters = self.steering.wake_waiters
 
     def _follow_roster(self) -> None:
         self._callbacks.roster_changed()
         self.steering.refresh()
 
     def _ask_loan(self, service: ServiceId, count: int, regions: t.Sequence[RegionId]) -> None:
-        self._callbacks.ask_loan(service, count, regions)
+        self._callbacks.start_loan_request(service, count, regions)
--- a/src/coralfall/reporting/status_builder.py
+++ b/src/coralfall/reporting/status_builder.py
@@ -138,7 +138,7 @@
             bundle = bundles.get(limit.partner)
             target = None if bundle is None else bundle.targets.get(target_id)
             router = routers.get((limit.partner, limit.service))
-            health = None if router is None else router.health.by_id.get(target_id)
+            health = None if router is None else router.health.health_by_target.get(target_id)
             targets.append(
                 TargetStatus(
                     target_id=target_id,
@@ -149,7 +149,7 @@
                     usable=limit.usable,
                     owned=self._node.slots.owned(target_id),
                     in_flight=self._node.slots.in_flight(target_id),
-                    suspect=health is not None and health.looks_dead(now),
+                    suspect=health is not None and health.seems_dead(now),
                 )
             )
         return tuple(targets)
--- a/tests/balancing/test_capacity.py
+++ b/tests/balancing/test_capacity.py
@@ -15,7 +15,7 @@
     pool_limit,
     pools,
     reserved_slots,
-    stricter,
+    stricter_bundle,
     usable_slots,
 )
 from coralfall.balancing.limits import CapacityLimits, Limits
@@ -184,7 +184,7 @@
         two = make_bundle("cosecha", {"sierra": 9}, {"a": second or first, **others})
         if second is None:
             two = make_bundle("cosecha", {"sierra": 9}, others)
-        for met in (stricter(one, two), stricter(two, one)):
+        for met in (stricter_bundle(one, two), stricter_bundle(two, one)):
             target = met.targets.get(TargetId("a"))
             self.assertEqual(target and target.slots, slots)
             if target is not None and state is not None:
@@ -197,11 +197,13 @@
         two = msgspec.structs.replace(
             one, services={ServiceId("pedidos"): service}, grants=grants, regions={}
         )
-        met = stricter(one, two)
+        met = stricter_bundle(one, two)
         self.assertEqual(met.services[ServiceId("pedidos")], service)
         self.assertEqual((met.grants, met.regions), ({}, {}))
         gone = msgspec.structs.replace(one, services={ServiceId("acopio"): service})
-        self.assertEqual((stricter(one, gone).services, stricter(one, gone).targets), ({}, {}))
+        self.assertEqual(
+            (stricter_bundle(one, gone).services, stricter_bundle(one, gone).targets), ({}, {})
+        )
 
 
 def _slots_there(limits: Limits, target_id: TargetId, pool: Pool) -> int:
--- a/tests/balancing/test_handover.py
+++ b/tests/balancing/test_handover.py
@@ -50,12 +50,12 @@
 
     def ack(self, name: str, revision: int, incarnation: int = 1) -> None:
         ack = Ack(EntryId(name), Incarnation(incarnation), Revision(revision))
-        self.slots.take_acks([ack])
+        self.slots.apply_acks([ack])
         self.work()
 
     def work(self) -> None:
         self.slots.update(self.roster, self.limits)
-        for _ in self.slots.steps():
+        for _ in self.slots.update_steps():
             pass
 
     def usable_from(self, horizon_s: float = 60) -> t.Dict[float, int]:
@@ -184,7 +184,7 @@
         entry.rows(put("a", 1), *(put(f"e{number}", 2 + number) for number in range(499)))
         found = []
         for _ in range(4):
-            owners = entry.slots.owners(ServiceId("pedidos"), ())
+            owners = entry.slots.slots_by_owner(ServiceId("pedidos"), ())
             found.append(sum(owners.values()))
         own = sum(len(owned) for owned in entry.slots._holdings.owned_by_target.values())
         self.assertTrue(0 < found[0] < found[1] < found[2])
@@ -230,6 +230,6 @@
     def test_nothing_is_acknowledged_while_a_request_outlasts_the_timeout(self) -> None:
         self.entry.limits = make_limits(timeout_s=0.2)
         self.entry.rows(put("b", 2))
-        self.assertEqual(self.slots.acknowledged, 0)
+        self.assertEqual(self.slots.acknowledged_revision, 0)
         self.entry.clock.advance(0.9)
-        self.assertEqual(self.slots.acknowledged, 2)
+        self.assertEqual(self.slots.acknowledged_revision, 2)
--- a/tests/balancing/test_health.py
+++ b/tests/balancing/test_health.py
@@ -31,7 +31,7 @@
 
 
 def usable(health: ServiceHealth, region: RegionId, now: float, count: int = 4) -> int:
-    return sum(health.usable(name(region, number), now) for number in range(count))
+    return sum(health.is_usable(name(region, number), now) for number in range(count))
 
 
 class LoadTest(unittest.TestCase):
@@ -69,7 +69,7 @@
     ) -> None:
         health = TargetHealth(make_target(A, SLOTS), RAMP_S)
         for at, in_flight in reports:
-            health.report(in_flight, SLOTS, at)
+            health.record_report(in_flight, SLOTS, at)
         load = health.load(own, prior, now)
         self.assertTrue(least <= load <= most, load)
 
@@ -88,8 +88,8 @@
         health = make_health()
         for number in range(targets):
             for _ in range(times):
-                health.failed(name(A, number), 1.0)
-                health.answered(name(A, 3), 0.01, 1.0) if number < 3 else None
+                health.record_failure(name(A, number), 1.0)
+                health.record_answer(name(A, 3), 0.01, 1.0) if number < 3 else None
         health.refresh(1.0)
         self.assertEqual(usable(health, A, 1.0), left)
         self.assertEqual(usable(health, B, 1.0), 4)
@@ -98,35 +98,35 @@
     def test_reports_of_death(self, _: str, unwell: int, left: int) -> None:
         health = make_health()
         for number in range(unwell):
-            health.by_id[name(A, number)].report(0, SLOTS, 1.0, healthy=False)
+            health.health_by_target[name(A, number)].record_report(0, SLOTS, 1.0, healthy=False)
         health.refresh(1.0)
         self.assertEqual(usable(health, A, 1.0), left)
-        self.assertIn(A, health.serving, "reports alone do not lose a region")
+        self.assertIn(A, health.serving_regions, "reports alone do not lose a region")
 
     def test_answer_beats_an_earlier_report_of_death(self) -> None:
         health = make_health()
-        health.by_id[name(A, 0)].report(0, SLOTS, 1.0, healthy=False)
-        health.answered(name(A, 0), 0.01, 1.1)
+        health.health_by_target[name(A, 0)].record_report(0, SLOTS, 1.0, healthy=False)
+        health.record_answer(name(A, 0), 0.01, 1.1)
         health.refresh(1.1)
         self.assertEqual(usable(health, A, 1.1), 4)
 
     def lose(self, health: ServiceHealth, region: RegionId, now: float) -> None:
         for number in range(defaults.REGION_DEAD_FAILURES):
-            health.failed(name(region, number % 4), now)
+            health.record_failure(name(region, number % 4), now)
 
     def test_region_is_lost_by_own_failures_and_found_by_one_answer(self) -> None:
         health = make_health()
         self.lose(health, A, 1.0)
-        self.assertEqual(health.serving, {B})
+        self.assertEqual(health.serving_regions, {B})
         self.assertEqual(usable(health, A, 1.0), 0)
-        health.answered(name(A, 2), 0.01, 2.0)
-        self.assertEqual(health.serving, {A, B})
+        health.record_answer(name(A, 2), 0.01, 2.0)
+        self.assertEqual(health.serving_regions, {A, B})
 
     def test_all_lost_is_not_believed(self) -> None:
         health = make_health()
         self.lose(health, A, 1.0)
         self.lose(health, B, 1.0)
-        self.assertEqual(health.serving, {A, B})
+        self.assertEqual(health.serving_regions, {A, B})
         self.assertEqual(usable(health, A, 1.0) + usable(health, B, 1.0), 8)
 
 
@@ -135,16 +135,16 @@
         health = TargetHealth(make_target(A, SLOTS), RAMP_S)
         now = 0.0
         for _ in range(defaults.SUSPECT_FAILURES):
-            health.failed(now)
+            health.record_failure(now)
         waits = []
         for _ in range(8):
             start = now
-            while not health.probe_due(now):
+            while not health.is_probe_due(now):
                 now += 0.05
             waits.append(now - start)
-            health.probe(now)
-            self.assertFalse(health.probe_due(now), "one probe at a time")
-            health.failed(now)
+            health.start_probe(now)
+            self.assertFalse(health.is_probe_due(now), "one probe at a time")
+            health.record_failure(now)
         self.assertEqual(waits, sorted(waits))
         self.assertGreaterEqual(waits[0], defaults.PROBE_BACKOFF_S)
         self.assertLessEqual(waits[-1], defaults.PROBE_BACKOFF_MAX_S + 0.1)
@@ -154,23 +154,23 @@
         health = TargetHealth(make_target(A, SLOTS), RAMP_S)
         self.assertEqual(health.usable_slots(0.0), SLOTS)
         for _ in range(defaults.SUSPECT_FAILURES):
-            health.failed(1.0)
-        health.answered(0.01, 2.0)
+            health.record_failure(1.0)
+        health.record_answer(0.01, 2.0)
         self.assertEqual(health.usable_slots(2.0 + after), slots)
 
     @parameterized.expand([("told to wait", 1, 0.05, True), ("waited", 1, 0.2, False)])
     def test_shed(self, _: str, times: int, after: float, paused: bool) -> None:
         health = TargetHealth(make_target(A, SLOTS), RAMP_S)
         for _ in range(times):
-            health.shed(1.0)
-        self.assertEqual(health.paused(1.0 + after), paused)
+            health.record_shed(1.0)
+        self.assertEqual(health.is_backing_off(1.0 + after), paused)
 
 
 class LatencyTest(unittest.TestCase):
     def test_old_estimate_gives_way_to_the_zone(self) -> None:
         health = make_health(2, (A,))
-        health.answered(name(A, 0), 1.0, 0.0)
+        health.record_answer(name(A, 0), 1.0, 0.0)
         for _ in range(200):
-            health.answered(name(A, 1), 0.01, 1.0)
-        self.assertGreater(health.latency(name(A, 0), 0.0), 0.5)
-        self.assertLess(health.latency(name(A, 0), 60.0), 0.1)
+            health.record_answer(name(A, 1), 0.01, 1.0)
+        self.assertGreater(health.expected_latency_s(name(A, 0), 0.0), 0.5)
+        self.assertLess(health.expected_latency_s(name(A, 0), 60.0), 0.1)
--- a/tests/balancing/test_lending.py
+++ b/tests/balancing/test_lending.py
@@ -9,9 +9,9 @@
 
 from coralfall import defaults
 from coralfall.balancing.demand import PeakDemand
-from coralfall.balancing.lending import Ask, Borrower, Lender, Return
-from coralfall.balancing.link import LinkAllowance, LinkRate, link_rates
-from coralfall.balancing.ownership import ranked
+from coralfall.balancing.lending import Borrower, Lender, OutgoingReturn, PendingLoanRequest
+from coralfall.balancing.link_limiter import LinkLimiter, LinkRate, link_rates
+from coralfall.balancing.ownership import ranked_members
 from coralfall.balancing.slots import SlotTable
 from coralfall.bundles.bundle import Bundle
 from coralfall.cluster.lease import Lease
@@ -41,29 +41,29 @@
         roster = Roster()
         roster.apply([put("a", 1)])
         self.owned.update(roster, make_limits())
-        for _ in self.owned.steps():
+        for _ in self.owned.update_steps():
             pass
         self.lender = Lender(self.owned, self.lease, self.clock, random.Random(1))
         # The borrower has no lease at all, as one that could not join.
         self.used = SlotTable(BORROWER, Lease(settings, self.clock), self.clock, settings)
         self.used.update(Roster(), make_limits())
         self.borrower = Borrower(self.used, self.clock, random.Random(2))
-        self.borrower.heard(OWNER, {SERVICE: 30})
+        self.borrower.record_heartbeat(OWNER, {SERVICE: 30})
 
-    def _ask(self, count: int = 2, regions: t.Sequence[RegionId] = ()) -> Ask:
-        ask = self.borrower.ask(SERVICE, count, regions)
+    def _ask(self, count: int = 2, regions: t.Sequence[RegionId] = ()) -> PendingLoanRequest:
+        ask = self.borrower.create_request(SERVICE, count, regions)
         assert ask is not None
         return ask
 
     def _borrow(self, count: int = 2) -> LoanAnswer:
         ask = self._ask(count)
         answer = self.lender.answer(BORROWER, ask.request)
-        self.assertEqual(self.borrower.answered(ask, answer), [])
+        self.assertEqual(self.borrower.accept_answer(ask, answer), [])
         return answer
 
-    def _deliver(self, returns: t.List[Return]) -> None:
+    def _deliver(self, returns: t.List[OutgoingReturn]) -> None:
         for back in returns:
-            self.lender.returned(BORROWER, back.message)
+            self.lender.accept_return(BORROWER, back.message)
 
     def _free(self) -> t.Tuple[int, int]:
         return self.owned.free(T0), self.used.free(T0)
@@ -78,14 +78,14 @@
         self.clock.advance(HELD_S - defaults.LOAN_TTL_S - 0.1)
         self.assertEqual(self._free(), (SLOTS - 2, 0))
         self.clock.advance(0.1)
-        self.assertEqual((self._free(), self.lender.lent()), ((SLOTS, 0), 0))
+        self.assertEqual((self._free(), self.lender.lent_count()), ((SLOTS, 0), 0))
 
     def test_counts_from_the_request_on_the_borrowers_side(self) -> None:
         ask = self._ask()
         self.clock.advance(1.5)
         answer = self.lender.answer(BORROWER, ask.request)
         self.clock.advance(0.4)
-        self.borrower.answered(ask, answer)
+        self.borrower.accept_answer(ask, answer)
         slot = self.used.acquire(T0)
         assert slot is not None
         self.assertTrue(self.used.confirm(slot))
@@ -96,7 +96,7 @@
         ask = self._ask()
         answer = self.lender.answer(BORROWER, ask.request)
         self.clock.advance(defaults.LOAN_TTL_S)
-        self._deliver(self.borrower.answered(ask, answer))
+        self._deliver(self.borrower.accept_answer(ask, answer))
         self.assertEqual(self._free(), (SLOTS, 0))
 
     def test_given_back_when_idle_but_not_while_a_request_runs(self) -> None:
@@ -105,7 +105,7 @@
         assert slot is not None
         self.clock.advance(defaults.LOAN_IDLE_TIMEOUT_S)
         self._deliver(self.borrower.due_returns())
-        self.assertEqual((self._free(), self.borrower.borrowed()), ((SLOTS - 1, 0), 1))
+        self.assertEqual((self._free(), self.borrower.borrowed_count()), ((SLOTS - 1, 0), 1))
         self.clock.advance(defaults.LOAN_TTL_S)
         self.assertEqual(self.borrower.due_returns(), [])
         self.used.release(slot)
@@ -121,11 +121,11 @@
         if wait_s:
             self.borrower.due_returns()
             self.lease.renewed(self.clock.now)
-            self.borrower.heard(OWNER, {SERVICE: SLOTS})
+            self.borrower.record_heartbeat(OWNER, {SERVICE: SLOTS})
             self._borrow(SLOTS)
         before = self.owned.free(T0)
         message = LoanReturn(loan_id=first.loan_id + off_by, slots=first.slots)
-        self.lender.returned(EntryId(sender), message)
+        self.lender.accept_return(EntryId(sender), message)
         self.assertEqual(self.owned.free(T0), before)
 
     @parameterized.expand(
@@ -138,7 +138,7 @@
     )
     def test_ends_with_the_owners_lease(self, _name: str, age_s: float, seconds: float) -> None:
         self.clock.advance(age_s)
-        self.borrower.heard(OWNER, {SERVICE: 30})
+        self.borrower.record_heartbeat(OWNER, {SERVICE: 30})
         answer = self.lender.answer(BORROWER, self._ask().request)
         self.assertAlmostEqual(answer.seconds, seconds)
         self.assertEqual(len(answer.slots), 2 if seconds else 0)
@@ -157,14 +157,14 @@
         for regions, count in (([CENTRO], 0), ([CENTRO, SIERRA], 2)):
             ask = self._ask(2, regions)
             self.assertEqual(len(self.lender.answer(BORROWER, ask.request).slots), count)
-            self.borrower.failed(ask)
+            self.borrower.discard_request(ask)
 
     def test_limit_of_the_borrower_counts_too(self) -> None:
         self.used.update(Roster(), make_limits(1))
         ask = self._ask(SLOTS)
         answer = self.lender.answer(BORROWER, ask.request)
-        self._deliver(self.borrower.answered(ask, answer))
-        self.assertEqual((self.used.free(T0), self.lender.lent()), (1, 1))
+        self._deliver(self.borrower.accept_answer(ask, answer))
+        self.assertEqual((self.used.free(T0), self.lender.lent_count()), (1, 1))
 
 
 class AskTest(unittest.TestCase):
@@ -175,39 +175,39 @@
         self.borrower = Borrower(self.slots, self.clock, random.Random(3))
 
     def test_asks_are_bounded_and_count_each_other(self) -> None:
-        self.assertIsNone(self.borrower.ask(SERVICE, 2))
-        self.borrower.heard(OWNER, {SERVICE: 30})
+        self.assertIsNone(self.borrower.create_request(SERVICE, 2))
+        self.borrower.record_heartbeat(OWNER, {SERVICE: 30})
         asks = []
         for count in (2, 5, 9, 14):
-            ask = self.borrower.ask(SERVICE, count)
+            ask = self.borrower.create_request(SERVICE, count)
             assert ask is not None
             asks.append(ask)
-            self.assertIsNone(self.borrower.ask(SERVICE, count))
+            self.assertIsNone(self.borrower.create_request(SERVICE, count))
         self.assertEqual([ask.request.count for ask in asks], [2, 3, 4, 5])
         self.assertEqual(len(asks), defaults.MAX_LOAN_REQUESTS)
-        self.assertIsNone(self.borrower.ask(SERVICE, 99))
-        self.borrower.failed(asks[0])
-        self.assertEqual(self.borrower.ask(SERVICE, 99).request.count, 16)  # type: ignore[union-attr]
+        self.assertIsNone(self.borrower.create_request(SERVICE, 99))
+        self.borrower.discard_request(asks[0])
+        self.assertEqual(self.borrower.create_request(SERVICE, 99).request.count, 16)  # type: ignore[union-attr]
 
     @parameterized.expand([("stale", 5.1, 2), ("gone", 0.0, 2), ("nothing", 0.0, 0)])
     def test_nobody_to_ask(self, name: str, wait_s: float, idle: int) -> None:
-        self.borrower.heard(OWNER, {SERVICE: idle})
+        self.borrower.record_heartbeat(OWNER, {SERVICE: idle})
         if name == "gone":
-            self.borrower.forget(OWNER)
+            self.borrower.forget_peer(OWNER)
         self.clock.advance(wait_s)
-        self.assertIsNone(self.borrower.ask(SERVICE, 1))
+        self.assertIsNone(self.borrower.create_request(SERVICE, 1))
 
     def test_owners_are_asked_that_have_said_nothing(self) -> None:
         roster = Roster()
         roster.apply([put("b", 1), put("c", 2), put("d", 3)])
         self.slots.update(roster, make_limits())
-        owners = self.slots.owners(SERVICE, [])
-        scored = collections.Counter(ranked(T0, index, "bcd")[0] for index in range(SLOTS))
+        owners = self.slots.slots_by_owner(SERVICE, [])
+        scored = collections.Counter(ranked_members(T0, index, "bcd")[0] for index in range(SLOTS))
         self.assertEqual(owners, {peer: scored[peer] for peer in "cd"})
-        asks = [self.borrower.ask(SERVICE, count) for count in (1, 2)]
+        asks = [self.borrower.create_request(SERVICE, count) for count in (1, 2)]
         assert asks[0] is not None and asks[1] is not None
         self.assertEqual({ask.peer for ask in asks if ask}, set(owners))
-        self.assertIsNone(self.borrower.ask(SERVICE, 3))
+        self.assertIsNone(self.borrower.create_request(SERVICE, 3))
 
     def test_owner_that_had_nothing_is_left_alone_ever_longer(self) -> None:
         roster = Roster()
@@ -215,27 +215,27 @@
         self.slots.update(roster, make_limits())
         waits = []
         for _ in range(5):
-            ask = self.borrower.ask(SERVICE, 1)
+            ask = self.borrower.create_request(SERVICE, 1)
             assert ask is not None
-            self.borrower.answered(ask, LoanAnswer(loan_id=1, slots=(), seconds=0.0))
+            self.borrower.accept_answer(ask, LoanAnswer(loan_id=1, slots=(), seconds=0.0))
             started = self.clock.now
-            again = self.borrower.ask(SERVICE, 1)
+            again = self.borrower.create_request(SERVICE, 1)
             while again is None:
                 self.clock.advance(0.01)
-                again = self.borrower.ask(SERVICE, 1)
+                again = self.borrower.create_request(SERVICE, 1)
             waits.append(round((self.clock.now - started) / defaults.LOAN_BACKOFF_S))
-            self.borrower.failed(again)
+            self.borrower.discard_request(again)
         self.assertEqual(waits, [1, 2, 4, 8, 8])
 
     def test_asks_are_spread_and_lean_to_those_with_more(self) -> None:
         asked = dict.fromkeys("cdef", 0)
         for _ in range(400):
             for name, idle in zip("cdef", (1, 5, 5, 20), strict=True):
-                self.borrower.heard(EntryId(name), {SERVICE: idle})
-            ask = self.borrower.ask(SERVICE, 1)
+                self.borrower.record_heartbeat(EntryId(name), {SERVICE: idle})
+            ask = self.borrower.create_request(SERVICE, 1)
             assert ask is not None
             asked[ask.peer] += 1
-            self.borrower.failed(ask)
+            self.borrower.discard_request(ask)
         self.assertEqual(asked["c"], 0)
         self.assertTrue(0 < asked["d"] < asked["f"] < 300)
 
@@ -259,7 +259,7 @@
 
     def test_rate_is_kept_with_a_burst(self) -> None:
         clock = ManualClock(10)
-        link = LinkAllowance(clock)
+        link = LinkLimiter(clock)
         self.assertEqual(link.reserve(SIERRA, 1), float("inf"))
         link.set_rates({SIERRA: LinkRate(1000.0, 100.0)})
         sent, rng = 0, random.Random(5)
@@ -272,7 +272,7 @@
         self.assertTrue(0.5 * bound < sent <= bound)
 
     def test_slot_borrowed_since_the_rates_were_set(self) -> None:
-        link = LinkAllowance(ManualClock(10))
+        link = LinkLimiter(ManualClock(10))
         link.set_rates({SIERRA: LinkRate(0.0, 100.0)})
         link.reserve(SIERRA, 20)
         self.assertAlmostEqual(link.reserve(SIERRA, 20), 0.1)
--- a/tests/balancing/test_routing.py
+++ b/tests/balancing/test_routing.py
@@ -10,7 +10,7 @@
 
 from coralfall.balancing.health import ServiceHealth
 from coralfall.balancing.routing import REFRESH_S, Candidate, Router, policy_for
-from coralfall.balancing.shift import ShiftGovernor
+from coralfall.balancing.shift import ShiftLimiter
 from coralfall.bundles.bundle import Target
 from coralfall.exceptions import RefusedError
 from coralfall.ids import PolicyName, RegionId, TargetId, ZoneId
@@ -57,8 +57,8 @@
 def make_router(policy: PolicyName = PolicyName.LATENCY, count: int = 1) -> Router:
     service = SERVICE_BY_POLICY[policy]
     health = ServiceHealth(ramp_s=30.0)
-    governor = ShiftGovernor(CATALOGO, service, service.weights, 0.0)
-    router = Router(CATALOGO, service, governor, health, 0.0)
+    shift_limiter = ShiftLimiter(CATALOGO, service, service.weights, 0.0)
+    router = Router(CATALOGO, service, shift_limiter, health, 0.0)
     targets = {}
     for region in (A, B):
         for number in range(1, count + 1):
@@ -71,9 +71,9 @@
     router: Router, free_by_id: t.Mapping[TargetId, int], tried: t.Collection[TargetId]
 ) -> t.Optional[TargetId]:
     """The first of all targets ranked in full."""
-    allowed = [region for region in (A, B) if router.governor.allows(region, bool(tried))]
+    allowed = [region for region in (A, B) if router.shift_limiter.is_allowed(region, bool(tried))]
     policy = policy_for(router.policy_name)
-    for candidate in policy.rank(router.by_id[name] for name in free_by_id):
+    for candidate in policy.rank(router.candidate_by_id[name] for name in free_by_id):
         target_id = candidate.target_id
         if free_by_id[target_id] < 1 or target_id in tried or candidate.suspect:
             continue
@@ -85,7 +85,7 @@
 class RouterTest(unittest.TestCase):
     @parameterized.expand([(policy,) for policy in PolicyName])
     def test_same_as_a_full_ranking(self, policy: PolicyName) -> None:
-        names = sorted(make_router(policy, 5).by_id)
+        names = sorted(make_router(policy, 5).candidate_by_id)
         steps = st.tuples(
             st.lists(st.integers(0, 2), min_size=10, max_size=10),
             st.sets(st.sampled_from(names), max_size=2),
@@ -102,14 +102,14 @@
             for free, tried, target_id, seconds, answered in script:
                 now += REFRESH_S
                 if answered:
-                    router.health.answered(target_id, seconds, now)
+                    router.health.record_answer(target_id, seconds, now)
                 else:
-                    router.health.failed(target_id, now)
+                    router.health.record_failure(target_id, now)
                 service = SERVICE_BY_POLICY[policy]
                 router.refresh(service, service.weights, 0.5, now)
                 free_by_id = dict(zip(names, free, strict=True))
                 if not tried:
-                    router.offer()
+                    router.count_request()
                 expected = naive_choice(router, free_by_id, tried)
                 try:
                     found = router.choose(free_by_id, tried, now, probe=False).target_id
@@ -122,7 +122,7 @@
 
     def test_tried_target_is_not_taken_again(self) -> None:
         router = make_router()
-        router.offer()
+        router.count_request()
         free = {TargetId("a1"): 1, TargetId("b1"): 1}
         first = router.choose(free, (), 0.0)
         second = router.choose(free, (first.target_id,), 0.0)
@@ -130,7 +130,7 @@
 
     def test_refused_when_no_slot_is_free(self) -> None:
         router = make_router()
-        router.offer()
+        router.count_request()
         with self.assertRaises(RefusedError) as caught:
             router.choose({TargetId("a1"): 0}, (), 0.0)
         self.assertGreater(caught.exception.retry_after, 0)
@@ -138,7 +138,7 @@
     def test_lost_region_is_shed_probed_and_found_again(self) -> None:
         router = make_router(count=3)
         service = SERVICE_BY_POLICY[PolicyName.LATENCY]
-        free = dict.fromkeys(router.by_id, 6)
+        free = dict.fromkeys(router.candidate_by_id, 6)
         now = 0.0
         asked_by_second: t.List[int] = []
         answered_by_second: t.List[int] = []
@@ -148,19 +148,19 @@
                 asked_by_second.append(0)
                 answered_by_second.append(0)
             router.refresh(service, service.weights, 0.5, now)
-            router.offer()
+            router.count_request()
             try:
                 candidate = router.choose(free, (), now)
             except RefusedError:
-                router.refuse()
+                router.count_refused()
                 continue
-            router.finished(candidate.target_id)
+            router.count_finished(candidate.target_id)
             if candidate.region == A and 200 <= number < 1200:
                 asked_by_second[-1] += 1
-                router.health.failed(candidate.target_id, now)
+                router.health.record_failure(candidate.target_id, now)
                 continue
             answered_by_second[-1] += candidate.region == A
-            router.health.answered(candidate.target_id, 0.01, now)
+            router.health.record_answer(candidate.target_id, 0.01, now)
         self.assertGreater(answered_by_second[1], 40)
         self.assertLessEqual(max(asked_by_second[4:12]), 3, "a lost region is probed, not used")
         self.assertGreater(sum(asked_by_second[4:12]), 0)
@@ -171,17 +171,19 @@
         router = make_router(count=count)
         service = SERVICE_BY_POLICY[PolicyName.LATENCY]
         for number in range(40):
-            router.health.failed(TargetId(f"a{number % count + 1}"), 0.0)
+            router.health.record_failure(TargetId(f"a{number % count + 1}"), 0.0)
         now = 0.0
         while now < 3 * service.shift_window_s:
             now += REFRESH_S
             router.refresh(service, service.weights, 0.5, now)
         regions = []
         for _ in range(20):
-            router.offer()
+            router.count_request()
             try:
-                regions.append(router.choose(dict.fromkeys(router.by_id, 6), (), now).region)
+                regions.append(
+                    router.choose(dict.fromkeys(router.candidate_by_id, 6), (), now).region
+                )
             except RefusedError:
-                router.refuse()
+                router.count_refused()
         self.assertGreater(regions.count(A), 0)
         self.assertLessEqual(regions.count(A), most)
--- a/tests/balancing/test_shift.py
+++ b/tests/balancing/test_shift.py
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from coralfall import defaults
-from coralfall.balancing.shift import COUNT_SLACK, ShiftGovernor
+from coralfall.balancing.shift import COUNT_SLACK, ShiftLimiter
 from coralfall.balancing.shift_plan import moved_share, planned_shares, split_cap
 from coralfall.bundles.bundle import Bundle, Head, Service
 from coralfall.ids import BundleVersion, PartnerId, PolicyName, RegionId, ServiceId
@@ -82,16 +82,16 @@
     def test_any_run_of_requests_keeps_to_the_ceilings(self, seed: int) -> None:
         rng = random.Random(seed)
         service = make_service({A: 0.6, B: 0.3, C: 0.1})
-        governor = ShiftGovernor(CATALOGO, service, service.weights, 0.0)
+        shift_limiter = ShiftLimiter(CATALOGO, service, service.weights, 0.0)
         band = split_cap(service).band
         sent: t.List[RegionId] = []
         for number in range(3000):
-            governor.offer()
-            allowed = governor.allowed()
+            shift_limiter.count_request()
+            allowed = shift_limiter.allowed_regions()
             self.assertTrue(allowed, "no share is missing, so nothing may be refused")
             liked = A if number // 500 % 2 else C
             region = liked if liked in allowed else rng.choice(allowed)
-            governor.take(region)
+            shift_limiter.charge(region)
             sent.append(region)
         for region, share in service.weights.items():
             hits = [0]
@@ -105,22 +105,22 @@
     """A region that refuses much of its share gives some to others, as slowly as any shift."""
 
     def play(
-        self, seconds: float, room: t.Dict[RegionId, int], governor: ShiftGovernor, now: float
+        self, seconds: float, room: t.Dict[RegionId, int], shift_limiter: ShiftLimiter, now: float
     ) -> float:
         """20 requests every 0.05 seconds, of which each region takes no more than its room."""
         service = make_service({A: 0.5, B: 0.5}, 0.4)
         end = now + seconds
         while now < end:
             now += 0.05
-            governor.advance(service, service.weights, {A, B}, now)
+            shift_limiter.advance(service, service.weights, {A, B}, now)
             left = dict(room)
             for _ in range(20):
-                governor.offer()
-                regions = [region for region in governor.allowed() if left[region]]
+                shift_limiter.count_request()
+                regions = [region for region in shift_limiter.allowed_regions() if left[region]]
                 if not regions:
-                    governor.refuse()
+                    shift_limiter.count_refused()
                     continue
-                governor.take(regions[0])
+                shift_limiter.charge(regions[0])
                 left[regions[0]] -= 1
         return now
 
@@ -134,14 +134,14 @@
     )
     def test_shares(self, _: str, room: t.Dict[RegionId, int], moves: bool) -> None:
         service = make_service({A: 0.5, B: 0.5}, 0.4)
-        governor = ShiftGovernor(CATALOGO, service, service.weights, 0.0)
-        now = self.play(20.0, room, governor, 0.0)
-        rate = split_cap(service).rate
-        gained = governor.shares[B] - 0.5
+        shift_limiter = ShiftLimiter(CATALOGO, service, service.weights, 0.0)
+        now = self.play(20.0, room, shift_limiter, 0.0)
+        rate = split_cap(service).rate_per_s
+        gained = shift_limiter.shares[B] - 0.5
         self.assertLessEqual(gained, rate * now + 1e-9)
         if not moves:
             self.assertAlmostEqual(gained, 0.0, places=2)
             return
         self.assertGreater(gained, rate * now / 2)
-        self.play(60.0, {A: 20, B: 20}, governor, now)
-        self.assertAlmostEqual(governor.shares[B], 0.5, places=2)
+        self.play(60.0, {A: 20, B: 20}, shift_limiter, now)
+        self.assertAlmostEqual(shift_limiter.shares[B], 0.5, places=2)
--- a/tests/balancing/test_shift_history.py
+++ b/tests/balancing/test_shift_history.py
@@ -9,8 +9,13 @@
 from parameterized import parameterized
 
 from coralfall import defaults
-from coralfall.balancing.shift import COUNT_SLACK, MAX_STRETCH, ShiftGovernor
-from coralfall.balancing.shift_plan import Shares, moved_share, planned_shares, shares_at
+from coralfall.balancing.shift import COUNT_SLACK, MAX_OVERDRAFT, ShiftLimiter
+from coralfall.balancing.shift_plan import (
+    Shares,
+    moved_share,
+    planned_shares,
+    planned_shares_by_service,
+)
 from coralfall.bundles.bundle import Head, Service
 from coralfall.ids import RegionId
 
@@ -81,21 +86,23 @@
         self.serving = set(REGIONS)
         half = defaults.MAX_CLOCK_SKEW_S / 2
         self.skews = [self.rng.uniform(-half, half) for _ in range(entries)]
-        self.governors = [self.make(index) for index in range(entries)]
+        self.shift_limiters = [self.make(index) for index in range(entries)]
         self.history: t.List[Sent] = []
         self.liked: t.Optional[RegionId] = None
 
     def planned(self, index: int) -> Shares:
         return planned_shares(self.head, CATALOGO, self.service, self.now + self.skews[index])
 
-    def make(self, index: int, start: t.Optional[Shares] = None) -> ShiftGovernor:
-        return ShiftGovernor(CATALOGO, self.service, self.planned(index), self.now, start)
+    def make(self, index: int, start: t.Optional[Shares] = None) -> ShiftLimiter:
+        return ShiftLimiter(CATALOGO, self.service, self.planned(index), self.now, start)
 
     def restart(self, index: int, start: t.Optional[Shares] = None) -> None:
-        self.governors[index] = self.make(index, start)
+        self.shift_limiters[index] = self.make(index, start)
 
     def accept(self, weights: Shares) -> None:
-        shares = shares_at(self.head, make_bundle({CATALOGO: self.service}), self.now)
+        shares = planned_shares_by_service(
+            self.head, make_bundle({CATALOGO: self.service}), self.now
+        )
         self.head = make_head(shares[CATALOGO], self.now)
         service = self.service
         self.service = make_service(weights, service.shift_cap, service.shift_window_s)
@@ -105,24 +112,24 @@
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_S
-            for index, governor in enumerate(self.governors):
-                governor.advance(self.service, self.planned(index), self.serving, self.now)
+            for index, shift_limiter in enumerate(self.shift_limiters):
+                shift_limiter.advance(self.service, self.planned(index), self.serving, self.now)
                 share = 1.0 if mix is None else mix[index]
                 wanted = rate * share * STEP_S
                 for _ in range(int(wanted + self.rng.random())):
-                    self.send(index, governor)
+                    self.send(index, shift_limiter)
 
-    def send(self, index: int, governor: ShiftGovernor) -> None:
-        governor.offer()
-        allowed = governor.allowed()
+    def send(self, index: int, shift_limiter: ShiftLimiter) -> None:
+        shift_limiter.count_request()
+        allowed = shift_limiter.allowed_regions()
         if not allowed:
-            self.history.append(Sent(self.now, index, governor.refuse(), False))
+            self.history.append(Sent(self.now, index, shift_limiter.count_refused(), False))
             return
         liked = self.liked or REGIONS[int(self.now / 3) % len(REGIONS)]
         region = self.rng.choice(allowed)
-        if liked in allowed or liked in governor.stretched():
+        if liked in allowed or liked in shift_limiter.overdraft_regions():
             region = liked
-        governor.take(region)
+        shift_limiter.charge(region)
         self.history.append(Sent(self.now, index, region, True))
 
 
@@ -152,7 +159,7 @@
         elif event[0] == "accept":
             fleet.accept(shares_of(event[1]))
         elif event[0] == "restart" and not lossy:
-            fleet.restart(fleet.rng.randrange(len(fleet.governors)))
+            fleet.restart(fleet.rng.randrange(len(fleet.shift_limiters)))
         elif event[0] == "lose" and lossy:
             fleet.serving.discard(event[1])
         elif event[0] == "return" and lossy:
@@ -179,7 +186,7 @@
             fleet.run(WINDOW_S, RATE)
             play(fleet, script, lossy, even)
             fleet.run(2 * WINDOW_S, RATE)
-            slack = COUNT_SLACK if even else MAX_STRETCH + 1
+            slack = COUNT_SLACK if even else MAX_OVERDRAFT + 1
             excess = worst_excess(fleet.history, cap, entries, slack=slack)
             self.assertLessEqual(excess, 0.0)
 
@@ -203,7 +210,7 @@
         middle = first + WINDOW_S
         before = shares_between(fleet.history, first, middle, True)
         after = shares_between(fleet.history, middle, first + 2 * WINDOW_S, True)
-        slack = (MAX_STRETCH + 1) * (len(REGIONS) + 1) * 2 / 4000
+        slack = (MAX_OVERDRAFT + 1) * (len(REGIONS) + 1) * 2 / 4000
         moved = moved_share(before, after)
         self.assertLessEqual(moved, 0.7 * cap + slack, "with no region lost, and few stretched")
         self.assertGreater(moved, 0.45 * cap, "the case is meant to come near")
@@ -258,7 +265,7 @@
         fleet.serving.add(A)
         for index in range(entries):
             fleet.run(1.0, 200.0)
-            fleet.restart(index, fleet.governors[index - 1].shares if told else None)
+            fleet.restart(index, fleet.shift_limiters[index - 1].shares if told else None)
         fleet.run(2 * WINDOW_S, 200.0)
         excess = worst_excess(fleet.history, 0.1, entries, only_sent=True)
         self.assertLessEqual(excess, 0.0 if told else 0.5)
--- a/tests/balancing/test_queue.py
+++ b/tests/balancing/test_wait_queue.py
@@ -47,7 +47,7 @@
             {COSECHA: rollout}, roster, slots, clock, PlatformClock(clock), self._ask
         )
         self.steering.refresh()
-        for _ in slots.steps():
+        for _ in slots.update_steps():
             pass
         self.held = [await self._reserve() for _ in range(SLOTS)]
         self.served: t.List[int] = []
@@ -96,7 +96,7 @@
     async def test_as_many_as_wait_are_asked_for_and_again_after_nothing_came(self) -> None:
         tasks = await self._wait(1, 2)
         self.asked.clear()
-        self.steering.slots_arrived(SERVICE)
+        self.steering.wake_waiters(SERVICE)
         await self._wait()
         self.assertEqual(self.asked, [2])
         for task in tasks:
@@ -138,14 +138,14 @@
             self.clock.advance(LeaseSettings().ttl_s + 1.0)
             return candidate
 
-        in_flight = router.by_id[self.held[0].target_id].in_flight
+        in_flight = router.candidate_by_id[self.held[0].target_id].in_flight
         with mock.patch.object(router, "choose", choose_and_pause):
             tasks = await self._wait(1)
         self.assertFalse(tasks[0].done())
-        self.assertEqual(router.by_id[self.held[0].target_id].in_flight, in_flight)
+        self.assertEqual(router.candidate_by_id[self.held[0].target_id].in_flight, in_flight)
         self.assertEqual(self.steering.served.drains.in_flight(self.held[0].target_id), 1)
         self.lease.renewed(self.clock.monotonic())
-        self.steering.wake_all()
+        self.steering.wake_all_waiters()
         await tasks[0]
         self.assertEqual(self.served, [1])
 
--- a/tests/control_fleet.py
+++ b/tests/control_fleet.py
@@ -155,7 +155,7 @@
     callbacks = NodeCallbacks(
         make_member=lambda: make_member("a"),
         peer_fetch=unittest.mock.AsyncMock(),
-        ask_loan=unittest.mock.Mock(),
+        start_loan_request=unittest.mock.Mock(),
         announce=unittest.mock.Mock(),
         roster_changed=unittest.mock.Mock(),
     )
@@ -193,7 +193,7 @@
         callbacks = NodeCallbacks(
             make_member=self._member,
             peer_fetch=self._fetch,
-            ask_loan=lambda service, count, regions: None,
+            start_loan_request=lambda service, count, regions: None,
             announce=self._spread_news,
             roster_changed=lambda: None,
         )
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -15,7 +15,7 @@
 from coralfall import defaults
 from coralfall.balancing.capacity import reserved_slots
 from coralfall.balancing.handover import Ack
-from coralfall.balancing.lending import Ask, Borrower, Lender, Return
+from coralfall.balancing.lending import Borrower, Lender, OutgoingReturn, PendingLoanRequest
 from coralfall.balancing.limits import CapacityLimits
 from coralfall.balancing.slot import Slot
 from coralfall.balancing.slots import SlotTable
@@ -205,7 +205,7 @@
         for node in self.nodes.values():
             node.finish()
             count -= len([slot for slot in node.slots.busy_slots() if slot.loan is None])
-            count -= node.slots.idle(SERVICE) + node.lender.lent()
+            count -= node.slots.idle(SERVICE) + node.lender.lent_count()
         return count
 
 
@@ -317,7 +317,7 @@
                 entry_id=self.name,
                 incarnation=self.member.incarnation,
                 renewals=self.renewals,
-                roster_revision=self.slots.acknowledged,
+                roster_revision=self.slots.acknowledged_revision,
             )
             self.world.write(lease_key(self.name), msgspec.msgpack.encode(row))
             life = (self.name, self.member.incarnation)
@@ -355,12 +355,12 @@
         staged = {COSECHA: BUNDLE_BY_VERSION[self.staged]} if self.staged else {}
         limits = self.capacity.update(accepted, staged, {}, self.world.now)
         self.slots.update(self.roster, limits)
-        for _ in self.slots.steps():
+        for _ in self.slots.update_steps():
             pass
 
     def take_ack(self, ack: Ack) -> None:
-        self.slots.take_acks([ack])
-        for _ in self.slots.steps():
+        self.slots.apply_acks([ack])
+        for _ in self.slots.update_steps():
             pass
 
     def leave(self) -> None:
@@ -385,7 +385,7 @@
         heads = (peer.accepted, peer.staged)
         members = list(peer.roster.by_id.values())
         revision = peer.roster.revision
-        ack = Ack(peer.name, peer.member.incarnation, peer.slots.acknowledged)
+        ack = Ack(peer.name, peer.member.incarnation, peer.slots.acknowledged_revision)
         spare = peer.lender.lendable(SERVICE)
 
         def arrive() -> None:
@@ -394,32 +394,32 @@
             self.learn(*heads)
             self.apply()
             self.take_ack(ack)
-            self.borrower.heard(peer.name, {SERVICE: spare})
+            self.borrower.record_heartbeat(peer.name, {SERVICE: spare})
             if self.joined and not self.gone:
                 self.lease.peer_confirmed(begun_at)
 
         self.later(arrive)
-        ask = self.borrower.ask(SERVICE, 2) if self.busy else None
+        ask = self.borrower.create_request(SERVICE, 2) if self.busy else None
         if ask is not None:
             self.send_ask(ask)
 
-    def send_ask(self, ask: Ask) -> None:
+    def send_ask(self, ask: PendingLoanRequest) -> None:
         lender = self.world.nodes[ask.peer]
         if not self.reaches(lender):
-            self.borrower.failed(ask)
+            self.borrower.discard_request(ask)
             return
         answer = lender.lender.answer(self.name, ask.request)
-        self.later(lambda: self.send_returns(self.borrower.answered(ask, answer)))
+        self.later(lambda: self.send_returns(self.borrower.accept_answer(ask, answer)))
 
     def give_back(self) -> None:
         self.send_returns(self.borrower.due_returns())
 
-    def send_returns(self, returns: t.List[Return]) -> None:
+    def send_returns(self, returns: t.List[OutgoingReturn]) -> None:
         for back in returns:
             lender = self.world.nodes[back.peer]
             if self.reaches(lender):
-                lender.later(partial(lender.lender.returned, self.name, back.message))
-                lender.later(partial(lender.lender.returned, self.name, back.message))
+                lender.later(partial(lender.lender.accept_return, self.name, back.message))
+                lender.later(partial(lender.lender.accept_return, self.name, back.message))
 
     # Requests.
 
--- a/tests/reporting/test_status_builder.py
+++ b/tests/reporting/test_status_builder.py
@@ -81,7 +81,7 @@
         rollout.learn_from_table(Head(partner=COSECHA, accepted=ref), Revision(version))
         rollout.hold(ref, bundle)
         self.entry.node.steering.refresh()
-        for _ in self.entry.node.slots.steps():
+        for _ in self.entry.node.slots.update_steps():
             pass
 
     def status(self) -> EntryStatus:
