--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -23,7 +23,7 @@
 
 from coralfall.ids import EntryId, RegionId, Revision, TargetId, ZoneId
 from coralfall.placement.cold import ColdShares
-from coralfall.platform.rows import PlatformTranslator
+from coralfall.platform.rows import PlatformRowCodec
 from coralfall.process.clock import ManualClock
 from coralfall.traffic.delta import DeltaRow, pack
 from coralfall.traffic.lookup import Lookup
@@ -117,7 +117,7 @@
 
 def take_state(count: int) -> Call:
     """Reading a desired state, and its routes' table."""
-    row_codec = PlatformTranslator()
+    row_codec = PlatformRowCodec()
     data = make_state_row(count)
 
     def call(_number: int) -> None:
--- a/src/coralfall/platform/rows.py
+++ b/src/coralfall/platform/rows.py
@@ -116,7 +116,7 @@
 _entry_decoder = msgspec.msgpack.Decoder(EntryRecord)
 
 
-class PlatformTranslator(RowCodec):
+class PlatformRowCodec(RowCodec):
     """Reads and writes the platform's rows."""
 
     state_prefix = f"{names.STATE_TABLE}/"
--- a/src/coralfall/platform/run.py
+++ b/src/coralfall/platform/run.py
@@ -17,7 +17,7 @@
 from ..traffic.settings_reloader import SettingsReloader
 from .http import ReadinessApp, ResolveApp
 from .names import HEADERS
-from .rows import PlatformTranslator
+from .rows import PlatformRowCodec
 from .store import RowStore
 
 #: Environment variable that holds the path of the settings file.
@@ -58,7 +58,7 @@
     node = Node(
         settings,
         HEADERS,
-        PlatformTranslator(),
+        PlatformRowCodec(),
         Store(store, store),
         SystemClock(),
         random.Random(),
--- a/tests/platform_adapter/test_adapter.py
+++ b/tests/platform_adapter/test_adapter.py
@@ -25,7 +25,7 @@
     PlatformUnknownError,
 )
 from coralfall.ids import Revision
-from coralfall.platform.rows import PlatformTranslator
+from coralfall.platform.rows import PlatformRowCodec
 from coralfall.platform.store import RowStore
 from coralfall.stores.store import Check, Row, Write
 from coralfall.traffic.connection import connect
@@ -92,7 +92,7 @@
 
 
 class RowsTest(unittest.TestCase):
-    row_codec = PlatformTranslator()
+    row_codec = PlatformRowCodec()
 
     def test_a_desired_state(self) -> None:
         state = self.row_codec.decode_state_row("op/config", json.dumps(config(7)).encode())
@@ -236,7 +236,7 @@
         self.assertIn(told, caught.exception.message)
 
     def test_a_target_that_told_its_birth_always_does(self) -> None:
-        row_codec = PlatformTranslator()
+        row_codec = PlatformRowCodec()
         plain = json.dumps(target_row()).encode()
         self.assertIsNone(row_codec.decode_target_row("servers/i-1", plain).born)
         born = json.dumps(target_row(born=5)).encode()
@@ -277,7 +277,7 @@
         good = json.dumps(target_row(born=5)).encode()
         at = position % len(good)
         foreign = good[:at] + bytes([byte]) + good[at + 1 :]
-        replica = Replica("targets", PlatformTranslator().decode_target_row, drops_unreadable=True)
+        replica = Replica("targets", PlatformRowCodec().decode_target_row, drops_unreadable=True)
         rows = [
             Row("servers/i-1", good, Revision(1)),
             Row("servers/i-2", foreign, Revision(2)),
