--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -22,7 +22,7 @@
 )
 
 from coralfall.ids import EntryId, RegionId, Revision, TargetId, ZoneId
-from coralfall.placement.cold import ColdShares
+from coralfall.placement.cold_targets import ColdTargetShares
 from coralfall.platform.rows import PlatformRowCodec
 from coralfall.process.clock import ManualClock
 from coralfall.traffic.delta import DeltaRow, pack
@@ -67,9 +67,9 @@
 
 def cold_share(count: int) -> Call:
     """A look at a cold target, of which there are 40."""
-    shares = ColdShares(EntryId("e0"))
+    shares = ColdTargetShares(EntryId("e0"))
     shares.set_entries(make_members(count, ManualClock(100.0)).known_ids())
-    return lambda number: shares.of(TargetId(f"t{number % 40}"), 18.5)
+    return lambda number: shares.allowance_of(TargetId(f"t{number % 40}"), 18.5)
 
 
 def rank(count: int) -> Call:
--- a/src/coralfall/defaults.py
+++ b/src/coralfall/defaults.py
@@ -308,12 +308,12 @@
 LOOKUP_FILL_ADDRESSES = 16
 
 #: How many targets hold an object, in the order of their hashes.
-AFFINITY_HOMES = 2
+AFFINITY_CANDIDATES = 2
 #: Slots, as a multiple of a target's own, up to which the homes are filled, one limit after
 #: the other: first every home up to the first limit, then every home up to the next.
-AFFINITY_LIMITS = (1.0, 1.5, 3.0)
+AFFINITY_LOAD_LIMITS = (1.0, 1.5, 3.0)
 #: The same for requests whose callers have waited for longer than the answer is worth most.
-LATE_LIMITS = (1.0,)
+LATE_LOAD_LIMITS = (1.0,)
 #: Part of what may shift between regions that an entry uses, and the seconds that it is counted in.
 SHIFT_BUDGET_FRACTION = 2 / 3
 SHIFT_WINDOW_S = 2.0
--- a/src/coralfall/placement/admission.py
+++ b/src/coralfall/placement/admission.py
@@ -43,7 +43,7 @@
         self._typical_by_service: t.Dict["ServiceId", float] = {}
         self._learning_by_service: t.Dict["ServiceId", float] = {}
 
-    def note_arrival(self, route: "Route", left_s: float) -> None:
+    def record_arrival(self, route: "Route", left_s: float) -> None:
         """Take in how long a caller will wait; on its first attempt that is its whole limit."""
         limit = self._limit_by_route.get(route.route_id, left_s)
         step = _LIMIT_UP if left_s > limit else _LIMIT_DOWN
@@ -54,7 +54,7 @@
         limit = self._limit_by_route.get(route.route_id, left_s)
         return limit - left_s > route.latency_target_s
 
-    def note_duration(self, service: "ServiceId", seconds: float, known: bool = True) -> None:
+    def record_duration(self, service: "ServiceId", seconds: float, known: bool = True) -> None:
         """Take in how long a target took to answer.
 
         :param known: whether it knew the object.
@@ -63,13 +63,13 @@
         if not known:
             _follow(self._learning_by_service, service, seconds, _LEARNING_QUANTILE)
 
-    def overdue_s(self, state: "TargetState", known: bool) -> float:
+    def overdue_after_s(self, state: "TargetState", known: bool) -> float:
         """Seconds after which the answer of a target that gets a request now should have come."""
         typical = self._typical_by_service.get(state.target.service, _OVERDUE_MIN_S)
-        expected = self.predict(state, known)
+        expected = self.predict_latency_s(state, known)
         return max(_OVERDUE_MIN_S, _OVERDUE * typical, _OVERDUE_EXPECTED * expected)
 
-    def predict(self, state: "TargetState", known: bool = True) -> float:
+    def predict_latency_s(self, state: "TargetState", known: bool = True) -> float:
         """Seconds that a target would take with one more request, queueing included."""
         typical = self._typical_by_service.get(state.target.service, 0.0)
         work = typical
@@ -77,11 +77,11 @@
             work = max(typical, self._learning_by_service.get(state.target.service, 0.0))
         return work + typical * _queued(state) / state.target.slots
 
-    def come_back_s(self, state: "TargetState") -> float:
+    def retry_after_s(self, state: "TargetState") -> float:
         """Seconds after which a caller may come back whom a target turned away."""
         return _NO_SHORTAGE_S if state.has_room() else defaults.STEER_RETRY_AFTER_S
 
-    def drained_s(self, state: "TargetState") -> float:
+    def queue_drain_s(self, state: "TargetState") -> float:
         """Seconds until a target has worked off its queue, if no more comes."""
         typical = self._typical_by_service.get(state.target.service, 0.0)
         return typical * _queued(state) / state.target.slots
--- a/src/coralfall/placement/affinity.py
+++ b/src/coralfall/placement/affinity.py
@@ -14,9 +14,9 @@
 from .. import defaults
 from ..exceptions import RefusedError
 from .admission import Admission
-from .cold import ColdShares
-from .shares import SlotsByRegion, SlowPart, interleaved, kept_part, place_of, score, spare_weight
-from .speed import SpeedComparison
+from .cold_targets import ColdTargetShares
+from .locality import SlotsByRegion, SlowPart, interleaved, kept_part, place_of, score, spare_weight
+from .slow_targets import SlowTargetDetector
 from .targets import COOLDOWN
 
 if t.TYPE_CHECKING:
@@ -24,7 +24,7 @@
     from ..process.clock import Clock
     from ..traffic.model import DesiredState, Route
     from ..traffic.settings import SteerSettings
-    from .targets import TargetBook, TargetState
+    from .targets import TargetRegistry, TargetState
 
 _Regions = t.FrozenSet["RegionId"]
 
@@ -34,7 +34,7 @@
 #: Instead of a limit for a target that does not know the object and is not its first home. To learn
 #: one takes three times as long as to serve a known one: under load each request that spills to
 #: such a target makes more spill, and the targets end up learning what they forgot for others.
-_LEARNING_LIMITS = dict(zip(defaults.AFFINITY_LIMITS, (0.0, 0.7, 1.0), strict=True))
+_LEARNING_LIMITS = dict(zip(defaults.AFFINITY_LOAD_LIMITS, (0.0, 0.7, 1.0), strict=True))
 
 
 class _Ranked:
@@ -50,7 +50,7 @@
         self.far = far
 
 
-class Place:
+class TargetReservation:
     """One request's place at a target.
 
     :param state: the target.
@@ -80,23 +80,23 @@
         self._key = key
         self._telling = telling
         self._admission = admission
-        self._number = state.begin(admission.overdue_s(state, known))
+        self._number = state.start_request(admission.overdue_after_s(state, known))
 
-    def answered(self, now: float, seconds: float) -> None:
+    def record_answer(self, now: float, seconds: float) -> None:
         """Take in how long the target took."""
-        self._admission.note_duration(self.state.target.service, seconds, self.known)
-        self.note(now, seconds)
+        self._admission.record_duration(self.state.target.service, seconds, self.known)
+        self.record_latency(now, seconds)
 
-    def note(self, now: float, seconds: float) -> None:
+    def record_latency(self, now: float, seconds: float) -> None:
         """Take in how long the target took, or has taken so far without an answer."""
         if self._telling:
-            self.state.durations.note(now, seconds)
+            self.state.latencies.record(now, seconds)
 
     def release(self) -> None:
         """Give it back; more than once does no harm."""
-        self.state.end(self._number)
+        self.state.end_request(self._number)
 
-    def withdraw(self) -> None:
+    def cancel(self) -> None:
         """Give it back unused: the target was sent nothing, and learns nothing of the object."""
         self.release()
         if not self.known:
@@ -111,7 +111,9 @@
     :param clock: tells the time.
     """
 
-    def __init__(self, settings: "SteerSettings", targets: "TargetBook", clock: "Clock") -> None:
+    def __init__(
+        self, settings: "SteerSettings", targets: "TargetRegistry", clock: "Clock"
+    ) -> None:
         self.settings = settings
         self._targets = targets
         self._clock = clock
@@ -123,14 +125,14 @@
         self._region_count = len(set(settings.regions_by_zone.values()))
         self._generation = -1
         self._cold_per_s: t.Dict["ServiceId", float] = {}
-        self._speed = SpeedComparison(targets, self._region_of, clock)
+        self._speed = SlowTargetDetector(targets, self._region_of, clock)
         #: Estimates of how long targets take, and of how long callers wait.
         self.admission = Admission()
         #: Limits that targets named.
         self.limits = targets.reports.limits
         self._cooldowns = targets.reports.cooldowns
         #: How many requests each cold target may get from this entry.
-        self.cold_shares = ColdShares(settings.entry_id)
+        self.cold_shares = ColdTargetShares(settings.entry_id)
 
     def set_state(self, state: "DesiredState") -> None:
         """Steer by this desired state."""
@@ -150,7 +152,7 @@
         late: bool = False,
         again: "t.Optional[TargetState]" = None,
         regions: t.Optional[_Regions] = None,
-    ) -> "Place":
+    ) -> "TargetReservation":
         """A place at the target of one send, held until it is released.
 
         :param key: names the object that the request concerns.
@@ -167,11 +169,11 @@
         ranked = self._ranked_of(service, key, regions)
         homes = self._homes(ranked, service, key, regions, tried)
         if again is not None and route.session_affinity and self._targets.may_use(again):
-            homes = [state for state in homes if state.knows(key)] + [again]
+            homes = [state for state in homes if state.has_cached(key)] + [again]
         if not homes:
             raise self._nothing_usable(service, ranked, key)
-        limits = defaults.LATE_LIMITS if late else defaults.AFFINITY_LIMITS
-        in_time = [state for state in homes if self.admission.predict(state) < left_s]
+        limits = defaults.LATE_LOAD_LIMITS if late else defaults.AFFINITY_LOAD_LIMITS
+        in_time = [state for state in homes if self.admission.predict_latency_s(state) < left_s]
         for limit in limits:
             for state in in_time:
                 most = min(limit, self._most_of(state, state is homes[0], key, limit, route))
@@ -190,22 +192,22 @@
             loads=",".join([f"{s.target.target_id}:{s.load():.1f}" for s in homes]),
         )
 
-    def come_back_s(self, state: "TargetState", service: "ServiceId", regions: _Regions) -> float:
+    def retry_after_s(self, state: "TargetState", service: "ServiceId", regions: _Regions) -> float:
         """Seconds after which a caller may come back whom a target rejected."""
         if not state.cooldown_s():
-            return self.admission.come_back_s(state)
+            return self.admission.retry_after_s(state)
         allowed = [
             other
             for other in self._targets.of_service(service)
             if not regions or self._region_of(other) in regions
         ]
-        waits_s = [self._cooldowns.come_back_s(other.target) for other in allowed]
-        return max(self.admission.come_back_s(state), min(waits_s, default=0.0))
+        waits_s = [self._cooldowns.retry_after_s(other.target) for other in allowed]
+        return max(self.admission.retry_after_s(state), min(waits_s, default=0.0))
 
     def _nothing_usable(self, service: "ServiceId", ranked: _Ranked, key: bytes) -> RefusedError:
         states = (*ranked.near, *ranked.far)
-        cooldowns_s = [self._cooldowns.come_back_s(state.target) for state in states]
-        limits_s = [self.limits.wait_s(state.target, state.knows(key)) for state in states]
+        cooldowns_s = [self._cooldowns.retry_after_s(state.target) for state in states]
+        limits_s = [self.limits.wait_s(state.target, state.has_cached(key)) for state in states]
         waits_s = [max(pair) for pair in zip(cooldowns_s, limits_s, strict=True)]
         if any(cooldowns_s) and all(waits_s):
             message = f"{len(states)} targets of {service} take no requests for a while"
@@ -223,7 +225,7 @@
 
     def _come_back_s(self, homes: t.Sequence["TargetState"]) -> float:
         """Seconds after which one of the targets should have room."""
-        drained_s = min([self.admission.drained_s(state) for state in homes])
+        drained_s = min([self.admission.queue_drain_s(state) for state in homes])
         return min(max(defaults.STEER_RETRY_AFTER_S, drained_s), _MAX_COME_BACK_S)
 
     def _most_of(
@@ -234,20 +236,20 @@
         :param first: whether it is the first home of the object that can be used.
         :param limit: the multiple for a target that knows the object.
         """
-        if first or not route.session_affinity or state.knows(key):
+        if first or not route.session_affinity or state.has_cached(key):
             return limit
         return _LEARNING_LIMITS.get(limit, limit)
 
-    def _take(self, state: "TargetState", key: bytes, route: "Route") -> "Place":
+    def _take(self, state: "TargetState", key: bytes, route: "Route") -> "TargetReservation":
         cold = state.is_cold()
         if cold:
-            state.cold.note(self._clock.monotonic())
-        known = state.knows(key) or not route.session_affinity
+            state.cold_limiter.record(self._clock.monotonic())
+        known = state.has_cached(key) or not route.session_affinity
         if route.session_affinity:
-            state.note_object(key)
+            state.record_object(key)
         telling = known and not cold and state.load() < state.target.slots
         near = self._region_of(state) == self.settings.region
-        return Place(state, key, known, near, telling, self.admission)
+        return TargetReservation(state, key, known, near, telling, self.admission)
 
     def _homes(
         self,
@@ -267,19 +269,21 @@
                 if state.target.target_id not in tried:
                     yield state
 
-        homes = self._first((s for s in open_to() if s.usable() and not s.is_quiet()), key)
+        homes = self._first(
+            (s for s in open_to() if s.is_usable() and not s.is_unresponsive()), key
+        )
         # If all seem unwell, the fault may be on this side; and somebody has to find out.
-        return homes or self._first((state for state in open_to() if state.accepts()), key)
+        return homes or self._first((state for state in open_to() if state.accepts_requests()), key)
 
     def _first(self, states: t.Iterable["TargetState"], key: bytes) -> t.List["TargetState"]:
         homes: t.List["TargetState"] = []
         for state in states:
             if state.is_cold() and not self._may_warm(state):
                 continue
-            if self.limits.wait_s(state.target, state.knows(key)):
+            if self.limits.wait_s(state.target, state.has_cached(key)):
                 continue
             homes.append(state)
-            if len(homes) == defaults.AFFINITY_HOMES:
+            if len(homes) == defaults.AFFINITY_CANDIDATES:
                 break
         return homes
 
@@ -289,8 +293,8 @@
     def _may_warm(self, state: "TargetState") -> bool:
         target = state.target
         per_s = self._cold_per_s.get(target.service, 1.0)
-        most = self.cold_shares.of(target.target_id, per_s)
-        return state.cold.has_room(self._clock.monotonic(), most)
+        most = self.cold_shares.allowance_of(target.target_id, per_s)
+        return state.cold_limiter.has_room(self._clock.monotonic(), most)
 
     def _fast_first(
         self, states: t.Sequence["TargetState"], key: bytes
@@ -299,11 +303,11 @@
 
         The next of its region that does keep it goes first then, so nothing moves between regions.
         """
-        if not states or self._speed.keeps(states[0], key):
+        if not states or self._speed.keeps_object(states[0], key):
             return states
         region = self._region_of(states[0])
         for state in states[1:]:
-            if self._region_of(state) == region and self._speed.keeps(state, key):
+            if self._region_of(state) == region and self._speed.keeps_object(state, key):
                 return [state, *[other for other in states if other is not state]]
         return states
 
--- a/src/coralfall/placement/ledger.py
+++ b/src/coralfall/placement/buckets.py
@@ -26,9 +26,9 @@
     from ..process.clock import Clock
 
 #: Limits of one region are dealt to this many slots by their names; shares are leased by slot.
-SLOTS = 32
+SLOT_COUNT = 32
 #: Part of a bucket that is kept for those who make the best use of tokens.
-RESERVED_PART = 0.5
+RESERVED_FRACTION = 0.5
 #: Seconds in which changes of the shares are taken together.
 _STEP_S = 0.05
 #: Part of the shares that have to stay when others end, lest buckets that nobody asked for yet
@@ -74,11 +74,11 @@
     def slots(self) -> t.Iterator[Slot]:
         """Those that there are."""
         for number in self.numbers:
-            if 0 <= number < SLOTS:
+            if 0 <= number < SLOT_COUNT:
                 yield Slot(number, self.region)
 
 
-def grouped(slots: t.Iterable[Slot]) -> t.Tuple[SlotGroup, ...]:
+def group_by_region(slots: t.Iterable[Slot]) -> t.Tuple[SlotGroup, ...]:
     """Slots by their region."""
     numbers_by_region: t.Dict[t.Optional[RegionId], t.List[int]] = {}
     for slot in slots:
@@ -229,7 +229,7 @@
         return self.tokens >= self.limit.burst * part
 
 
-class Ledger:
+class TokenBuckets:
     """What was lent to one entry, and what it granted.
 
     :param clock: tells the time; it goes on while the VM is suspended.
@@ -239,7 +239,7 @@
         self._clock = clock
         self._shares: t.Dict[Slot, _Shares] = {}
 
-    def lend(
+    def add_lease(
         self, lender: "EntryId", slots: t.Iterable[Slot], share: float, seconds: float
     ) -> None:
         """Use an entry's share of these slots for some time."""
@@ -247,7 +247,7 @@
         for slot in slots:
             self._of(slot, now).lend(lender, share, now, now + seconds)
 
-    def end(self, lender: "EntryId") -> None:
+    def end_leases(self, lender: "EntryId") -> None:
         """Use nothing more that an entry lent."""
         now = self._clock.monotonic()
         for shares in self._shares.values():
@@ -263,7 +263,7 @@
         bucket = shares.bucket(key, limit, now)
         part = shares.part()
         level = bucket.tokens
-        reserved = limit.burst * part * RESERVED_PART if spare_only else 0.0
+        reserved = limit.burst * part * RESERVED_FRACTION if spare_only else 0.0
         granted = min(count, max(0, math.floor(level - reserved + _ROUNDING)))
         bucket.tokens -= granted
         wait_s = 0.0
@@ -271,7 +271,7 @@
             wait_s = _wait_s(bucket, limit.rate_per_s * part, now, reserved)
         return Grant(granted, wait_s, level, shares.known_part(limit))
 
-    def give_back(self, key: LimitKey, count: int) -> None:
+    def return_tokens(self, key: LimitKey, count: int) -> None:
         """Put back tokens whose requests did not run."""
         shares = self._of(slot_of(key), self._clock.monotonic())
         bucket = shares.buckets.get(key)
@@ -301,7 +301,7 @@
 
 def slot_of(key: LimitKey) -> Slot:
     """The slot of a limit; all entries agree on it."""
-    return Slot(zlib.crc32(key.name.encode()) % SLOTS, key.region)
+    return Slot(zlib.crc32(key.name.encode()) % SLOT_COUNT, key.region)
 
 
 def _wait_s(bucket: _Bucket, rate_per_s: float, now: float, reserved: float) -> float:
--- a/src/coralfall/placement/cold.py
+++ b/src/coralfall/placement/cold_targets.py
@@ -16,7 +16,7 @@
 _SPAN_S = 1.0
 
 
-class ColdGate:
+class SlidingWindowLimiter:
     """Lets few requests pass in any second."""
 
     __slots__ = ("_passed",)
@@ -29,12 +29,12 @@
         self._passed = [at for at in self._passed if at > now - _SPAN_S]
         return len(self._passed) < most
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Count one that passes."""
         self._passed.append(now)
 
 
-class ColdShares:
+class ColdTargetShares:
     """This entry's part of what all entries together may send to each cold target.
 
     :param entry_id: of this entry.
@@ -52,7 +52,7 @@
         self._entries = entries
         self._share_by_target.clear()
 
-    def of(self, target_id: "TargetId", per_s: float) -> int:
+    def allowance_of(self, target_id: "TargetId", per_s: float) -> int:
         """Requests in a second that this entry may send to a cold target.
 
         :param per_s: bound on all entries together.
--- a/src/coralfall/placement/cooldowns.py
+++ b/src/coralfall/placement/cooldowns.py
@@ -40,9 +40,9 @@
         self._clock = clock
         self._by_lifetime: t.Dict[Lifetime, Cooldown] = {}
         #: Cooldowns that began so far, by the service of their targets.
-        self.begun_by_service: t.Dict[str, int] = {}
+        self.started_by_service: t.Dict[str, int] = {}
 
-    def note(self, target: "Target", seconds: float) -> None:
+    def record(self, target: "Target", seconds: float) -> None:
         """Takes in that a target wants no request for some seconds from now on."""
         now = self._clock.monotonic()
         lifetime = lifetime_of(target)
@@ -51,8 +51,8 @@
         if previous is not None and previous.until >= until:
             return
         if previous is None or previous.until <= now:
-            begun = self.begun_by_service.get(target.service, 0)
-            self.begun_by_service[target.service] = begun + 1
+            begun = self.started_by_service.get(target.service, 0)
+            self.started_by_service[target.service] = begun + 1
         logged_until = previous.logged_until if previous is not None else now
         if until - max(logged_until, now) >= _LOGGED_S or logged_until <= now:
             logged_until = until
@@ -64,14 +64,14 @@
             )
         self._by_lifetime[lifetime] = Cooldown(until, seconds, logged_until)
 
-    def left_s(self, target: "Target") -> float:
+    def remaining_s(self, target: "Target") -> float:
         """Seconds until a target takes requests from this entry again; 0 if it does now."""
         cooldown = self._of(target)
         if cooldown is None:
             return 0.0
         return max(0.0, cooldown.until - self._clock.monotonic())
 
-    def come_back_s(self, target: "Target") -> float:
+    def retry_after_s(self, target: "Target") -> float:
         """Seconds after which a caller may come back whom a cooldown holds off; 0 if there is none.
 
         Callers return after its end in the order in which they were rejected, within a part of the
--- a/src/coralfall/placement/departures.py
+++ b/src/coralfall/placement/departures.py
@@ -38,27 +38,29 @@
         self._present: t.Tuple[Lifetime, ...] = ()
         self._sum = 0
         #: Those that this entry learnt of by an answer, by service.
-        self.heard_by_service: t.Dict[str, int] = {}
+        self.detected_by_service: t.Dict[str, int] = {}
         #: Called when more lifetimes leave.
         self.on_change: t.Callable[[], None] = lambda: None
         #: Called when there is something to tell the others: at once, or when there is room.
-        self.on_news: t.Callable[[bool], None] = lambda at_once: None
+        self.on_update: t.Callable[[bool], None] = lambda at_once: None
 
     def includes(self, target: "Target") -> bool:
         """Whether a target's lifetime leaves."""
         return bool(self._seen_at) and lifetime_of(target) in self._seen_at
 
-    def note(self, target: "Target") -> None:
+    def record(self, target: "Target") -> None:
         """Takes in that an answer of a target says that it leaves."""
         lifetime = lifetime_of(target)
         if lifetime in self._seen_at:
             return
-        self.heard_by_service[target.service] = self.heard_by_service.get(target.service, 0) + 1
+        self.detected_by_service[target.service] = (
+            self.detected_by_service.get(target.service, 0) + 1
+        )
         log.info("target.leaving", target=target.target_id, service=target.service, evidence="own")
         self._add([lifetime])
-        self.on_news(False)
+        self.on_update(False)
 
-    def hear(self, lifetimes: t.Iterable[Lifetime]) -> None:
+    def merge(self, lifetimes: t.Iterable[Lifetime]) -> None:
         """Takes in what another entry knows."""
         new = [lifetime for lifetime in lifetimes if lifetime not in self._seen_at]
         if not new:
@@ -71,16 +73,16 @@
                 log.info("target.leaving", target=lifetime.target_id, evidence="told")
         self._add(new)
 
-    def recent(self) -> t.Tuple[Lifetime, ...]:
+    def recent_updates(self) -> t.Tuple[Lifetime, ...]:
         """What is news still, the latest first."""
         latest = sorted(self._news, key=lambda lifetime: self._news[lifetime], reverse=True)
         return tuple(latest[: defaults.MAX_GOSSIP_DEPARTURES])
 
-    def all(self) -> t.Tuple[Lifetime, ...]:
+    def snapshot(self) -> t.Tuple[Lifetime, ...]:
         """Those whose targets are among the ones that there are."""
         return self._present
 
-    def sum(self) -> int:
+    def checksum(self) -> int:
         """A number that two entries share if they agree on :meth:`all`."""
         return self._sum
 
--- a/src/coralfall/placement/quarantine.py
+++ b/src/coralfall/placement/quarantine.py
@@ -122,21 +122,21 @@
         #: Kept until something changes; it is asked for many times a second.
         self._sum: t.Optional[int] = None
         #: Tells which one entry may send a refused request on trial.
-        self.tries: t.Callable[[Fingerprint], bool] = lambda fingerprint: True
+        self.runs_trial: t.Callable[[Fingerprint], bool] = lambda fingerprint: True
         #: Called when there is something to tell the others: at once, or when there is room.
-        self.on_news: t.Callable[[bool], None] = lambda at_once: None
+        self.on_update: t.Callable[[bool], None] = lambda at_once: None
 
-    def set_hold(self, hold_s: float) -> None:
+    def set_retention(self, hold_s: float) -> None:
         """Remember suspects for so long from now on."""
         self._hold_s = hold_s
-        self.forget()
+        self.expire()
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether nobody is suspected."""
         return not self._by_fingerprint
 
-    def has_head(self, head: int) -> bool:
+    def has_suspect_head(self, head: int) -> bool:
         """Whether some suspect has this head, so that it is worth to look at the body, too."""
         return head in self._heads
 
@@ -158,7 +158,7 @@
         record.seen_at = self._clock.monotonic()
         return True
 
-    def may_try(self, fingerprint: Fingerprint) -> bool:
+    def start_trial(self, fingerprint: Fingerprint) -> bool:
         """Whether a refused request is sent to one target all the same, once, on trial.
 
         Targets may have ended of something else, that is over. If one answers, it is refused no
@@ -168,16 +168,16 @@
         now = self._clock.monotonic()
         if record.tried or now - record.crashed_at < defaults.QUARANTINE_TRY_S:
             return False
-        if not self.tries(fingerprint):
+        if not self.runs_trial(fingerprint):
             return False
         log.info("request.tried", fingerprint=fingerprint, crashes=len(record.counted))
         record.tried = True
         record.learnt_at = now
         self._sum = None
-        self.on_news(True)
+        self.on_update(True)
         return True
 
-    def note_crash(
+    def record_crash(
         self, crash: CrashDigest, requests: t.Iterable[t.Tuple[Fingerprint, CallerDigest]]
     ) -> None:
         """Take in what a target had in hand as it ended."""
@@ -191,9 +191,9 @@
             self._learn(record, Suspect(fingerprint, (caller,), (crash,), (), False, 0.0), now)
             again = again or record.matters
         self._look("own" if again else None)
-        self.on_news(again)
+        self.on_update(again)
 
-    def note_answer(self, fingerprint: Fingerprint) -> None:
+    def record_answer(self, fingerprint: Fingerprint) -> None:
         """Take in that a target ran a request and answered it: it is not why others ended."""
         record = self._by_fingerprint.get(fingerprint)
         if record is None or not record.counted:
@@ -201,9 +201,9 @@
         record.cleared |= record.crashes
         record.learnt_at = self._clock.monotonic()
         self._look("answered")
-        self.on_news(record.matters)
+        self.on_update(record.matters)
 
-    def hear(self, suspects: t.Iterable[Suspect]) -> None:
+    def merge(self, suspects: t.Iterable[Suspect]) -> None:
         """Take in what another entry knows."""
         now = self._clock.monotonic()
         changed = False
@@ -217,7 +217,7 @@
         if changed:
             self._look("told")
 
-    def recent(self) -> t.Tuple[Suspect, ...]:
+    def recent_updates(self) -> t.Tuple[Suspect, ...]:
         """What is news still, the most suspected first."""
         if not self._by_fingerprint:
             return ()
@@ -227,12 +227,12 @@
         news.sort(key=lambda one: (len(one.counted), one.learnt_at), reverse=True)
         return tuple([one.suspect(now) for one in news[: defaults.MAX_GOSSIP_SUSPECT_REQUESTS]])
 
-    def all(self) -> t.Tuple[Suspect, ...]:
+    def snapshot(self) -> t.Tuple[Suspect, ...]:
         """All that more than one target ended with."""
         now = self._clock.monotonic()
         return tuple([one.suspect(now) for one in self._by_fingerprint.values() if one.matters])
 
-    def sum(self) -> int:
+    def checksum(self) -> int:
         """A number that two entries share if they agree on all that :meth:`all` tells."""
         if self._sum is None:
             self._sum = 0
@@ -241,7 +241,7 @@
                     self._sum ^= record.digest()
         return self._sum
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Let go of suspects that came no more, and of the least suspected if there are many."""
         since = self._clock.monotonic() - self._hold_s
         gone = [one for one in self._by_fingerprint.values() if one.seen_at <= since]
--- a/src/coralfall/placement/budget.py
+++ b/src/coralfall/placement/retry_budget.py
@@ -36,7 +36,7 @@
             self.total -= self._counts.popleft()[1]
 
 
-class SendBudget:
+class SharedRetryBudget:
     """This entry's part of the second sends that the users allow for each service.
 
     Its own requests bring their share with them; the number that is allowed on top is divided
@@ -52,20 +52,20 @@
         self._requests: t.Dict["ServiceId", _Window] = {}
         self._seconds: t.Dict["ServiceId", _Window] = {}
         #: How many entries share the budget.
-        self.entries = 1
+        self.entry_count = 1
 
-    def request(self, service: "ServiceId") -> None:
+    def record_request(self, service: "ServiceId") -> None:
         """Count a request."""
         self._window(self._requests, service).add(self._clock.monotonic())
 
-    def take(self, service: "ServiceId") -> bool:
+    def try_spend(self, service: "ServiceId") -> bool:
         """Whether one more send of a request is allowed; counts it if so."""
         now = self._clock.monotonic()
         requests = self._window(self._requests, service)
         seconds = self._window(self._seconds, service)
         requests.trim(now)
         seconds.trim(now)
-        slack = self.bounds.budget_slack / max(1, self.entries)
+        slack = self.bounds.budget_slack / max(1, self.entry_count)
         allowed = (requests.total * self.bounds.budget_ratio + slack) * _USED
         if seconds.total + 1 > allowed:
             return False
--- a/src/coralfall/placement/speed.py
+++ b/src/coralfall/placement/slow_targets.py
@@ -16,7 +16,7 @@
 if t.TYPE_CHECKING:
     from ..ids import RegionId, ServiceId, TargetId
     from ..process.clock import Clock
-    from .targets import TargetBook, TargetState
+    from .targets import TargetRegistry, TargetState
 
 #: Times that are kept of each target, and the fewest that say anything.
 _KEPT = 8
@@ -34,7 +34,7 @@
 _SPAN = float(1 << 64)
 
 
-class Durations:
+class LatencySamples:
     """How long one target took lately with objects that it knows."""
 
     __slots__ = ("_times",)
@@ -42,11 +42,11 @@
     def __init__(self) -> None:
         self._times: t.Deque[t.Tuple[float, float]] = collections.deque(maxlen=_KEPT)
 
-    def note(self, now: float, seconds: float) -> None:
+    def record(self, now: float, seconds: float) -> None:
         """Take in one."""
         self._times.append((now, seconds))
 
-    def typical(self, now: float) -> t.Optional[float]:
+    def median_s(self, now: float) -> t.Optional[float]:
         """Seconds, or None if too little is known."""
         counting = [seconds for at, seconds in self._times if at > now - _COUNTS_S]
         if len(counting) < _FEWEST:
@@ -54,7 +54,7 @@
         return statistics.median(counting)
 
 
-class SpeedComparison:
+class SlowTargetDetector:
     """Tells what part of its objects each target keeps.
 
     :param targets: all targets.
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        targets: "TargetBook",
+        targets: "TargetRegistry",
         region_of: "t.Callable[[TargetState], t.Optional[RegionId]]",
         clock: "Clock",
     ) -> None:
@@ -74,7 +74,7 @@
         self._compared_at: t.Dict["ServiceId", float] = {}
         self._part_by_id: t.Dict["ServiceId", t.Dict["TargetId", float]] = {}
 
-    def kept_part(self, state: "TargetState") -> float:
+    def kept_fraction(self, state: "TargetState") -> float:
         """The part of its objects that a target keeps, from 0 to 1."""
         service = state.target.service
         now = self._clock.monotonic()
@@ -83,9 +83,9 @@
             self._part_by_id[service] = self._compare(service, now)
         return self._part_by_id[service].get(state.target.target_id, 1.0)
 
-    def keeps(self, state: "TargetState", key: bytes) -> bool:
+    def keeps_object(self, state: "TargetState", key: bytes) -> bool:
         """Whether a target keeps an object that is its by hash."""
-        part = self.kept_part(state)
+        part = self.kept_fraction(state)
         return part >= 1.0 or _share_of(key, state.target.target_id) < part
 
     def _compare(self, service: "ServiceId", now: float) -> t.Dict["TargetId", float]:
@@ -94,7 +94,7 @@
             {}
         )
         for state in self._targets.of_service(service):
-            typical = state.durations.typical(now)
+            typical = state.latencies.median_s(now)
             if typical is not None:
                 typical_by_region.setdefault(self._region_of(state), []).append((typical, state))
         parts: t.Dict["TargetId", float] = {}
--- a/src/coralfall/placement/target_limits.py
+++ b/src/coralfall/placement/target_limits.py
@@ -13,7 +13,7 @@
 from .. import defaults
 from ..ids import TargetId
 from ..process import log
-from .ledger import Limit, LimitKey, LimitKind
+from .buckets import Limit, LimitKey, LimitKind
 
 if t.TYPE_CHECKING:
     from ..ids import RegionId
@@ -32,7 +32,7 @@
 _FORGET_S = 60.0
 
 
-class NamedLimit(msgspec.Struct, frozen=True, array_like=True):
+class ReportedLimit(msgspec.Struct, frozen=True, array_like=True):
     """What one lifetime of a target last said of its limit."""
 
     target_id: TargetId
@@ -42,7 +42,7 @@
     #: Requests a second from all entries together; ``None`` once the target names none any more.
     rate_per_s: t.Optional[float]
 
-    def supersedes(self, other: "NamedLimit") -> bool:
+    def supersedes(self, other: "ReportedLimit") -> bool:
         """Whether this is the later word, or the stricter one of two that came at a time."""
         order, others = (self.born, self.revision), (other.born, other.revision)
         if order != others:
@@ -59,7 +59,7 @@
 
     __slots__ = ("changed_at", "exhausted_until", "limit", "reserved_until", "seen_at")
 
-    def __init__(self, limit: NamedLimit, now: float) -> None:
+    def __init__(self, limit: ReportedLimit, now: float) -> None:
         self.limit = limit
         #: When this entry learnt of it, and when its target was last among those that there are.
         self.changed_at = now
@@ -85,7 +85,7 @@
         #: Rises whenever other limits are in force.
         self.generation = 0
         #: Called when there is something to tell the others: at once, or when there is room.
-        self.on_news: t.Callable[[bool], None] = lambda at_once: None
+        self.on_update: t.Callable[[bool], None] = lambda at_once: None
 
     def rate_of(self, target: "Target") -> t.Optional[float]:
         """Requests a second that a target takes from all entries together, if it says so."""
@@ -99,13 +99,13 @@
         record = self._by_target.get(target_id)
         if record is None or record.limit.rate_per_s is None:
             return None
-        return bucket_for(record.limit.rate_per_s)
+        return token_bucket_for(record.limit.rate_per_s)
 
     def in_force(self) -> t.Collection[TargetId]:
         """Targets that have a limit."""
         return self._in_force
 
-    def exhaust(self, target: "Target", seconds: float, known: bool = True) -> None:
+    def mark_exhausted(self, target: "Target", seconds: float, known: bool = True) -> None:
         """Note that the limit has no token for some time, or until it changes.
 
         :param known: whether there is none even for objects that the target knows.
@@ -129,7 +129,9 @@
         until = record.exhausted_until if known else record.reserved_until
         return max(0.0, until - self._clock.monotonic())
 
-    def note_answer(self, target: "Target", rate_per_s: t.Optional[float], sent_at: float) -> None:
+    def record_answer(
+        self, target: "Target", rate_per_s: t.Optional[float], sent_at: float
+    ) -> None:
         """Take in what an answer of a target says.
 
         A limit that is higher, or taken back, counts only if the request was sent after this
@@ -151,12 +153,12 @@
                 return
         if rate_per_s == previous:
             return
-        limit = NamedLimit(target.target_id, born, revision + 1, rate_per_s)
+        limit = ReportedLimit(target.target_id, born, revision + 1, rate_per_s)
         self._set(limit)
         self._log([limit], "own", service=target.service, previous=_text(previous))
-        self.on_news(False)
+        self.on_update(False)
 
-    def hear(self, limits: t.Iterable[NamedLimit]) -> None:
+    def merge(self, limits: t.Iterable[ReportedLimit]) -> None:
         """Take in what another entry knows."""
         changed = []
         for limit in limits:
@@ -166,7 +168,7 @@
                 changed.append(limit)
         self._log(changed, "told")
 
-    def recent(self) -> t.Tuple[NamedLimit, ...]:
+    def recent_updates(self) -> t.Tuple[ReportedLimit, ...]:
         """What is news still, the latest first."""
         if not self._by_target:
             return ()
@@ -175,11 +177,11 @@
         news.sort(key=lambda one: one.changed_at, reverse=True)
         return tuple([one.limit for one in news[: defaults.MAX_GOSSIP_LIMITS]])
 
-    def all(self) -> t.Tuple[NamedLimit, ...]:
+    def snapshot(self) -> t.Tuple[ReportedLimit, ...]:
         """All that is known."""
         return tuple([one.limit for one in self._by_target.values()])
 
-    def sum(self) -> int:
+    def checksum(self) -> int:
         """A number that two entries share if they agree on the limits in force."""
         if self._sum is None:
             self._sum = 0
@@ -201,7 +203,7 @@
                 del self._by_target[target_id]
         self._index(now)
 
-    def _set(self, limit: NamedLimit) -> None:
+    def _set(self, limit: ReportedLimit) -> None:
         now = self._clock.monotonic()
         self._by_target[limit.target_id] = _Record(limit, now)
         self._index(now)
@@ -218,7 +220,7 @@
             self._in_force = in_force
             self.generation += 1
 
-    def _log(self, limits: t.Sequence[NamedLimit], evidence: str, **fields: t.Any) -> None:
+    def _log(self, limits: t.Sequence[ReportedLimit], evidence: str, **fields: t.Any) -> None:
         if len(limits) > log.SINGLE_LINES:
             ids = [limit.target_id for limit in limits]
             log.many("target.limit", "targets", ids, evidence=evidence)
@@ -234,12 +236,12 @@
             )
 
 
-def key_of(target_id: TargetId, region: "t.Optional[RegionId]") -> LimitKey:
+def target_limit_key(target_id: TargetId, region: "t.Optional[RegionId]") -> LimitKey:
     """Names the limit of a target; entries of all regions need tokens of one owner, near to it."""
     return LimitKey(LimitKind.TARGET, target_id, region)
 
 
-def bucket_for(rate_per_s: float) -> Limit:
+def token_bucket_for(rate_per_s: float) -> Limit:
     """The token bucket that all entries share for a target.
 
     It allows what the target takes for any longer time, and little more in a short one.
--- a/src/coralfall/placement/target_reports.py
+++ b/src/coralfall/placement/target_reports.py
@@ -53,26 +53,26 @@
         #: Times for which targets want no request from this entry.
         self.cooldowns = Cooldowns(clock)
 
-    def note(self, state: "TargetState", report: TargetReport, sent_at: float) -> None:
+    def record(self, state: "TargetState", report: TargetReport, sent_at: float) -> None:
         """Takes in what an answer says.
 
         :param sent_at: monotonic time at which its request was sent.
         """
         target = state.target
         if report.load is not None:
-            state.report(*report.load)
+            state.record_load(*report.load)
         if report.limit_per_s is not None or report.unlimited:
-            self.limits.note_answer(target, report.limit_per_s, sent_at)
+            self.limits.record_answer(target, report.limit_per_s, sent_at)
         if report.leaving:
-            self.departures.note(target)
+            self.departures.record(target)
         if report.cooldown_s is not None:
-            self.cooldowns.note(target, report.cooldown_s)
+            self.cooldowns.record(target, report.cooldown_s)
 
     def restriction_of(self, target: "Target") -> str:
         """Why a target wants no request by its own word, for logs; empty if it takes some."""
         if self.departures.includes(target):
             return "leaving"
-        return "cooldown" if self.cooldowns.left_s(target) else ""
+        return "cooldown" if self.cooldowns.remaining_s(target) else ""
 
     def tick(self, targets: "t.Mapping[TargetId, TargetState]") -> None:
         """Compares the reports with the targets that there are, and forgets old ones."""
--- a/src/coralfall/placement/targets.py
+++ b/src/coralfall/placement/targets.py
@@ -5,8 +5,8 @@
 
 from .. import defaults
 from ..process import log
-from .cold import ColdGate
-from .speed import Durations
+from .cold_targets import SlidingWindowLimiter
+from .slow_targets import LatencySamples
 from .target_reports import TargetReports
 
 if t.TYPE_CHECKING:
@@ -52,12 +52,12 @@
         self._answered_at = -float("inf")
         #: When this entry last sent a request of each object, the object longest unsent first.
         self._sent_by_object: "collections.OrderedDict[bytes, float]" = collections.OrderedDict()
-        self.cold = ColdGate()
+        self.cold_limiter = SlidingWindowLimiter()
         #: Of requests for objects that it knew, without a queue.
-        self.durations = Durations()
+        self.latencies = LatencySamples()
         self.cold_until = 0.0
         #: Whether its own address says that this lifetime is over.
-        self.gone = False
+        self.has_ended = False
         self._reported = 0
         self._reported_at = -float("inf")
         self._failures = 0
@@ -71,14 +71,14 @@
 
     def cooldown_s(self) -> float:
         """Seconds until it takes requests from this entry again; 0 if it does now."""
-        return self._reports.cooldowns.left_s(self.target)
+        return self._reports.cooldowns.remaining_s(self.target)
 
     @property
-    def in_hand(self) -> int:
+    def in_flight(self) -> int:
         """Requests of this entry that it has in hand."""
         return len(self._begun)
 
-    def begin(self, overdue_s: float) -> int:
+    def start_request(self, overdue_s: float) -> int:
         """Note that it gets a request; the number that :meth:`end` wants.
 
         :param overdue_s: seconds after which it should have been answered.
@@ -88,16 +88,16 @@
         self._begun[self._begun_count] = (now, now + overdue_s)
         return self._begun_count
 
-    def end(self, number: int) -> None:
+    def end_request(self, number: int) -> None:
         """Note that a request is over, however it ended."""
         self._begun.pop(number, None)
 
-    def knows(self, key: bytes) -> bool:
+    def has_cached(self, key: bytes) -> bool:
         """Whether this entry sent it a request of this object lately, so that it is fast."""
         sent_at = self._sent_by_object.get(key)
         return sent_at is not None and self._clock.monotonic() - sent_at < _KNOWN_S
 
-    def note_object(self, key: bytes) -> None:
+    def record_object(self, key: bytes) -> None:
         """Note that a request of this object is sent to it."""
         self._sent_by_object[key] = self._clock.monotonic()
         self._sent_by_object.move_to_end(key)
@@ -108,7 +108,7 @@
         """Note that a request of this object was not sent to it after all."""
         self._sent_by_object.pop(key, None)
 
-    def is_quiet(self) -> bool:
+    def is_unresponsive(self) -> bool:
         """Whether a request is overdue and none was answered since it began."""
         now = self._clock.monotonic()
         for began, overdue_at in self._begun.values():
@@ -123,7 +123,7 @@
         """
         age = self._clock.monotonic() - self._reported_at
         reported = self._reported * 0.5 ** (age / defaults.LOAD_HALF_LIFE_S)
-        return float(max(self.in_hand, reported))
+        return float(max(self.in_flight, reported))
 
     def has_room(self) -> bool:
         """Whether a slot is free, as far as known here."""
@@ -134,30 +134,30 @@
         answered = self._clock.monotonic() - self._answered_at < _SERVES_S
         return answered and self.has_room() and not self.cooldown_s()
 
-    def accepts(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether a request may be sent to it now, however unwell it seems."""
-        return not self.gone and not self.cooldown_s()
+        return not self.has_ended and not self.cooldown_s()
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether a request should be sent to it now, as far as its health goes."""
-        return self.accepts() and self._clock.monotonic() >= self._rests_until
+        return self.accepts_requests() and self._clock.monotonic() >= self._rests_until
 
     def is_cold(self) -> bool:
         """Whether it bears only a few requests a second."""
         return self._clock.monotonic() < self.cold_until
 
-    def report(self, running: int, waiting: int) -> None:
+    def record_load(self, running: int, waiting: int) -> None:
         """Take in its own word on its load."""
         self._reported = running + waiting
         self._reported_at = self._clock.monotonic()
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Note an answer."""
         self._answered_at = self._clock.monotonic()
         self._failures = 0
         self._rests = 0
 
-    def fail(
+    def record_failure(
         self, reached: bool, silent_since: t.Optional[float] = None, refused: bool = False
     ) -> None:
         """Note a failure; it rests after some in a row, or at once if it gives no sign of life.
@@ -194,7 +194,7 @@
         self.cold_until = max(self.cold_until, until)
 
 
-class TargetBook:
+class TargetRegistry:
     """All targets, by id and by service.
 
     :param clock: tells the time.
@@ -263,7 +263,7 @@
             previous=state.target.born,
             address=target.address,
         )
-        state.gone = True
+        state.has_ended = True
         self.on_restart(state.target)
 
     def evacuate(self, zones: "t.FrozenSet[ZoneId]") -> None:
@@ -282,11 +282,11 @@
 
     def may_use(self, state: TargetState) -> bool:
         """Whether a target counts among those in use: it is there, it stays, its zone is used."""
-        if state.leaving or state.target.zone in self._evacuated or state.gone:
+        if state.leaving or state.target.zone in self._evacuated or state.has_ended:
             return False
         return self.by_id.get(state.target.target_id) is state
 
-    def objection(self, state: TargetState) -> t.Optional[str]:
+    def block_reason(self, state: TargetState) -> t.Optional[str]:
         """The last check before a request is sent: why it may not be, in a word."""
         if not self.may_use(state):
             return WITHDRAWN
@@ -304,7 +304,7 @@
         return counts
 
     def _name_of(self, state: TargetState) -> str:
-        if state.gone:
+        if state.has_ended:
             return "gone"
         if state.leaving:
             return "leaving"
@@ -312,15 +312,15 @@
             return "evacuated"
         if state.cooldown_s():
             return COOLDOWN
-        if not state.usable():
+        if not state.is_usable():
             return "resting"
         return "cold" if state.is_cold() else "usable"
 
-    def drop(self, state: TargetState) -> None:
+    def mark_replaced(self, state: TargetState) -> None:
         """Use a target no more: something else answers at its address."""
-        if state.gone:
+        if state.has_ended:
             return
-        state.gone = True
+        state.has_ended = True
         log.info("target.replaced", target=state.target.target_id, address=state.target.address)
         self._index()
 
--- a/src/coralfall/placement/quota.py
+++ b/src/coralfall/placement/tenant_limits.py
@@ -2,7 +2,7 @@
 
 import typing as t
 
-from .ledger import UNLIMITED, Limit, LimitKey, LimitKind
+from .buckets import UNLIMITED, Limit, LimitKey, LimitKind
 
 if t.TYPE_CHECKING:
     from ..ids import TenantId
@@ -17,7 +17,7 @@
 _SPLIT_TOKENS = 3.0
 
 
-def key_of(tenant_id: "TenantId") -> LimitKey:
+def tenant_limit_key(tenant_id: "TenantId") -> LimitKey:
     """Names the limit of a tenant."""
     return LimitKey(LimitKind.TENANT, tenant_id)
 
--- a/src/coralfall/placement/split.py
+++ b/src/coralfall/placement/weighted_split.py
@@ -11,7 +11,7 @@
 _STEP = 0.6180339887498949
 
 
-class Split:
+class WeightedSplit:
     """Deals by a sequence of low discrepancy, so that few requests already keep the shares.
 
     Each entry starts somewhere else in it, so that entries do not deal in step.
--- a/src/coralfall/simulation/entries.py
+++ b/src/coralfall/simulation/entries.py
@@ -10,15 +10,15 @@
 from ..exceptions import RefusedError
 from ..ids import EntryId, RegionId, ServiceId, TargetId, ZoneId
 from ..placement.affinity import AffinitySteering
-from ..placement.budget import SendBudget
+from ..placement.retry_budget import SharedRetryBudget
 from ..placement.target_reports import TargetReport
-from ..placement.targets import TargetBook
+from ..placement.targets import TargetRegistry
 from ..traffic.model import CallerLimits, DesiredState, Route, ServiceRules, Target
 from ..traffic.settings import SteerSettings, StoreSettings
 from .targets import Job
 
 if t.TYPE_CHECKING:
-    from ..placement.affinity import Place
+    from ..placement.affinity import TargetReservation
     from ..placement.targets import TargetState
     from .agenda import Agenda
     from .scenario import Scenario, ServiceSettings
@@ -88,12 +88,12 @@
         """Start anew."""
         settings = self._settings
         clock = self._agenda.clock
-        self._book = TargetBook(clock, settings.bounds.target_visibility_s())
+        self._book = TargetRegistry(clock, settings.bounds.target_visibility_s())
         self.steering = AffinitySteering(settings, self._book, clock)
         self.steering.set_state(_desired_state(self._scenario))
         self.steering.cold_shares.set_entries(self._entry_ids)
-        self._budget = SendBudget(settings.bounds, clock)
-        self._budget.entries = len(self._entry_ids)
+        self._budget = SharedRetryBudget(settings.bounds, clock)
+        self._budget.entry_count = len(self._entry_ids)
 
     def learn(self, targets: t.Mapping[TargetId, Target]) -> None:
         """Take in the rows of all targets."""
@@ -103,9 +103,9 @@
         self, route: Route, key: bytes, left_s: float, answer: t.Callable[[bool, bool, float], None]
     ) -> None:
         """Serve one attempt of a caller, who waits for ``left_s`` yet."""
-        self._budget.request(route.backends[0].service)
+        self._budget.record_request(route.backends[0].service)
         admission = self.steering.admission
-        admission.note_arrival(route, left_s)
+        admission.record_arrival(route, left_s)
         late = admission.is_late(route, left_s)
         deadline = self._agenda.now + min(left_s, route.timeout_s)
         self._send(Attempt(route, key, deadline, late, answer))
@@ -114,7 +114,7 @@
         left_s = attempt.deadline - self._agenda.now
         service = attempt.route.backends[0].service
         try:
-            place = self.steering.choose(
+            reservation = self.steering.choose(
                 attempt.route,
                 service,
                 attempt.key,
@@ -127,29 +127,33 @@
             attempt.answer(False, False, refusal.retry_after)
             return
         attempt.again = None
-        attempt.tried.add(place.state.target.target_id)
-        target = self._targets_by_id[place.state.target.target_id]
-        wait_s = target.take_token(place.known)
+        attempt.tried.add(reservation.state.target.target_id)
+        target = self._targets_by_id[reservation.state.target.target_id]
+        wait_s = target.take_token(reservation.known)
         if wait_s:
-            self.steering.limits.exhaust(place.state.target, wait_s, place.known)
-            place.withdraw()
+            self.steering.limits.mark_exhausted(reservation.state.target, wait_s, reservation.known)
+            reservation.cancel()
             self._send(attempt)
             return
         attempt.sends += 1
         trip_s = self._trip_s(target)
         connect_s = self._connect_s(attempt, target, trip_s)
         if not target.listening:
-            self._agenda.after(2 * trip_s, lambda: self._not_reached(attempt, place, refused=True))
+            self._agenda.after(
+                2 * trip_s, lambda: self._not_reached(attempt, reservation, refused=True)
+            )
             return
         if target.silent and connect_s:
-            self._agenda.after(_CONNECT_S, lambda: self._not_reached(attempt, place, refused=False))
+            self._agenda.after(
+                _CONNECT_S, lambda: self._not_reached(attempt, reservation, refused=False)
+            )
             return
-        self._exchange(attempt, place, target, connect_s + trip_s, trip_s)
+        self._exchange(attempt, reservation, target, connect_s + trip_s, trip_s)
 
     def _exchange(
         self,
         attempt: Attempt,
-        place: "Place",
+        reservation: "TargetReservation",
         target: "SimulatedTarget",
         there_s: float,
         back_s: float,
@@ -160,7 +164,7 @@
             if done:
                 return
             done.append(True)
-            self._answered(attempt, place, self._agenda.now - began, ran, report)
+            self._answered(attempt, reservation, self._agenda.now - began, ran, report)
 
         def reply(ran: bool) -> None:
             report = TargetReport(
@@ -174,10 +178,10 @@
                 return
             done.append(True)
             target.drop(job)
-            place.note(self._agenda.clock.now, self._agenda.now - began)
-            place.release()
+            reservation.record_latency(self._agenda.clock.now, self._agenda.now - began)
+            reservation.release()
             since = self._agenda.clock.now - (self._agenda.now - began)
-            place.state.fail(reached=True, silent_since=since)
+            reservation.state.record_failure(reached=True, silent_since=since)
             attempt.answer(False, True, 0.0)
 
         done: t.List[bool] = []
@@ -188,27 +192,29 @@
     def _answered(
         self,
         attempt: Attempt,
-        place: "Place",
+        reservation: "TargetReservation",
         seconds: float,
         ran: bool,
         report: TargetReport,
     ) -> None:
-        self._book.reports.note(place.state, report, self._agenda.clock.now - seconds)
-        place.release()
+        self._book.reports.record(reservation.state, report, self._agenda.clock.now - seconds)
+        reservation.release()
         if ran:
-            place.state.succeed()
-            place.answered(self._agenda.clock.now, seconds)
+            reservation.state.record_success()
+            reservation.record_answer(self._agenda.clock.now, seconds)
             attempt.answer(True, True, 0.0)
             return
         service = attempt.route.backends[0].service
-        come_back_s = self.steering.come_back_s(place.state, service, frozenset())
-        if place.state.sheds_at_random():
-            attempt.again = place.state
+        come_back_s = self.steering.retry_after_s(reservation.state, service, frozenset())
+        if reservation.state.sheds_at_random():
+            attempt.again = reservation.state
         self._send_again(attempt, come_back_s)
 
-    def _not_reached(self, attempt: Attempt, place: "Place", refused: bool) -> None:
-        place.state.fail(reached=False, refused=refused)
-        place.release()
+    def _not_reached(
+        self, attempt: Attempt, reservation: "TargetReservation", refused: bool
+    ) -> None:
+        reservation.state.record_failure(reached=False, refused=refused)
+        reservation.release()
         self._send_again(attempt)
 
     def _send_again(
@@ -217,7 +223,7 @@
         service = attempt.route.backends[0].service
         has_time = attempt.deadline - self._agenda.now > defaults.MIN_SEND_TIME_LEFT_S
         may = attempt.sends < attempt.route.max_attempts and has_time
-        if may and self._budget.take(service):
+        if may and self._budget.try_spend(service):
             self._send(attempt)
             return
         attempt.answer(False, False, come_back_s)
--- a/src/coralfall/simulation/targets.py
+++ b/src/coralfall/simulation/targets.py
@@ -4,8 +4,8 @@
 import functools
 import typing as t
 
-from ..placement.ledger import RESERVED_PART
-from ..placement.target_limits import bucket_for
+from ..placement.buckets import RESERVED_FRACTION
+from ..placement.target_limits import token_bucket_for
 
 if t.TYPE_CHECKING:
     import random
@@ -111,11 +111,11 @@
         """
         if self.limit_per_s is None:
             return 0.0
-        bucket = bucket_for(self.limit_per_s)
+        bucket = token_bucket_for(self.limit_per_s)
         came = bucket.rate_per_s * (self._agenda.now - self._tokens_at)
         self._tokens = min(bucket.burst, self._tokens + came)
         self._tokens_at = self._agenda.now
-        needed = 1.0 if known else 1.0 + bucket.burst * RESERVED_PART
+        needed = 1.0 if known else 1.0 + bucket.burst * RESERVED_FRACTION
         if self._tokens < needed:
             return (needed - self._tokens) / bucket.rate_per_s
         self._tokens -= 1
--- a/src/coralfall/simulation/world.py
+++ b/src/coralfall/simulation/world.py
@@ -225,7 +225,7 @@
         target.limit(per_s)
         row = self._row(target)
         for entry in self.entries:
-            entry.steering.limits.note_answer(row, per_s, self.agenda.clock.now)
+            entry.steering.limits.record_answer(row, per_s, self.agenda.clock.now)
 
     def _heal(self, target: SimulatedTarget, event: "EventSettings") -> None:
         target.slowness = 1.0
--- a/src/coralfall/traffic/acquisition.py
+++ b/src/coralfall/traffic/acquisition.py
@@ -7,7 +7,7 @@
 
 if t.TYPE_CHECKING:
     from ..ids import EntryId
-    from ..placement.ledger import Grant, Limit, LimitKey
+    from ..placement.buckets import Grant, Limit, LimitKey
 
 
 class Answer(t.NamedTuple):
--- a/src/coralfall/traffic/answer_check.py
+++ b/src/coralfall/traffic/answer_check.py
@@ -6,7 +6,7 @@
 
 if t.TYPE_CHECKING:
     from ..placement.affinity import AffinitySteering
-    from ..placement.targets import TargetBook, TargetState
+    from ..placement.targets import TargetRegistry, TargetState
     from .answer_report import AnswerReader
     from .connection import ServerAnswer
     from .steered_request import SteeredRequest
@@ -32,7 +32,7 @@
         self,
         names: "HeaderNames",
         reader: "AnswerReader",
-        targets: "TargetBook",
+        targets: "TargetRegistry",
         steering: "AffinitySteering",
     ) -> None:
         self._names = names
@@ -60,12 +60,12 @@
             raise TargetUnknownError("answer to another request", reason="mixed")
         if answer.status == _MISDIRECTED:
             # What it says is said of another target.
-            self._targets.drop(state)
+            self._targets.mark_replaced(state)
             raise TargetNotRunError("another target is at the address", reason="misdirected")
-        self._targets.reports.note(state, self._reader.read(answer, state.target), sent_at)
+        self._targets.reports.record(state, self._reader.read(answer, state.target), sent_at)
         if answer.header(names.not_run) is not None:
             reason = f"{SHED}{answer.status}"
-            come_back_s = self._steering.come_back_s(state, request.service, request.regions)
+            come_back_s = self._steering.retry_after_s(state, request.service, request.regions)
             raise TargetNotRunError("target did not run it", reason=reason, come_back_s=come_back_s)
         if answer.status in _PROMISES:
             raise TargetUnknownError("target promises what it can't", reason="unproved")
@@ -78,4 +78,4 @@
         if answer.status == _MISDIRECTED:
             return
         report = self._reader.read(answer, state.target).restrictions()
-        self._targets.reports.note(state, report, 0.0)
+        self._targets.reports.record(state, report, 0.0)
--- a/src/coralfall/traffic/crashes.py
+++ b/src/coralfall/traffic/crashes.py
@@ -16,7 +16,7 @@
 
 if t.TYPE_CHECKING:
     from ..placement.fingerprint import CallerDigest, Fingerprint
-    from ..placement.targets import TargetBook, TargetState
+    from ..placement.targets import TargetRegistry, TargetState
     from ..process.clock import Clock
     from .model import Target
     from .pool import ConnectionPool, Opening
@@ -62,7 +62,7 @@
     :param clock: tells the time.
     """
 
-    def __init__(self, targets: "TargetBook", pool: "ConnectionPool", clock: "Clock") -> None:
+    def __init__(self, targets: "TargetRegistry", pool: "ConnectionPool", clock: "Clock") -> None:
         self._targets = targets
         self._pool = pool
         self._clock = clock
--- a/src/coralfall/traffic/exchange.py
+++ b/src/coralfall/traffic/exchange.py
@@ -9,7 +9,7 @@
     from ..ids import Revision
     from ..placement.lifetime import Lifetime
     from ..placement.quarantine import Quarantine, Suspect
-    from ..placement.target_limits import NamedLimit
+    from ..placement.target_limits import ReportedLimit
     from ..placement.target_reports import TargetReports
     from ..process.clock import Clock
     from .delta import Delta
@@ -59,7 +59,7 @@
         address: str = "",
         wants_rows: bool = True,
         suspects: "t.Optional[t.Tuple[Suspect, ...]]" = None,
-        limits: "t.Optional[t.Tuple[NamedLimit, ...]]" = None,
+        limits: "t.Optional[t.Tuple[ReportedLimit, ...]]" = None,
         departures: "t.Optional[t.Tuple[Lifetime, ...]]" = None,
     ) -> GossipMessage:
         """What is known here, with what came after the revisions given.
@@ -88,12 +88,14 @@
             store_s=state_view.store_clock.latest_s(),
             state=_delta(state_view.state_rows, state_since),
             targets=_delta(state_view.target_rows, targets_since),
-            suspects=self.quarantine.recent() if suspects is None else suspects,
-            suspects_sum=self.quarantine.sum(),
-            limits=self.reports.limits.recent() if limits is None else limits,
-            limits_sum=self.reports.limits.sum(),
-            departures=self.reports.departures.recent() if departures is None else departures,
-            departures_sum=self.reports.departures.sum(),
+            suspects=self.quarantine.recent_updates() if suspects is None else suspects,
+            suspects_sum=self.quarantine.checksum(),
+            limits=self.reports.limits.recent_updates() if limits is None else limits,
+            limits_sum=self.reports.limits.checksum(),
+            departures=(
+                self.reports.departures.recent_updates() if departures is None else departures
+            ),
+            departures_sum=self.reports.departures.checksum(),
         )
 
     def answer(self, news: GossipMessage) -> GossipMessage:
@@ -101,12 +103,12 @@
         address = news.records[0].peer_address if news.records else ""
         reports = self.reports
         known: t.Dict[str, t.Any] = {"all_members": news.wants_all, "address": address}
-        if news.suspects_sum != self.quarantine.sum():
-            known["suspects"] = self.quarantine.all()
-        if news.limits_sum != reports.limits.sum():
-            known["limits"] = reports.limits.all()
-        if news.departures_sum != reports.departures.sum():
-            known["departures"] = reports.departures.all()
+        if news.suspects_sum != self.quarantine.checksum():
+            known["suspects"] = self.quarantine.snapshot()
+        if news.limits_sum != reports.limits.checksum():
+            known["limits"] = reports.limits.snapshot()
+        if news.departures_sum != reports.departures.checksum():
+            known["departures"] = reports.departures.snapshot()
         if not news.wants_rows:
             return self.news(**known)
         return self.news(news.state_revision, news.targets_revision, **known)
@@ -118,9 +120,9 @@
         """
         state_view = self.state_view
         self._take_members(news, asked_at is not None)
-        self.quarantine.hear(news.suspects)
-        self.reports.limits.hear(news.limits)
-        self.reports.departures.hear(news.departures)
+        self.quarantine.merge(news.suspects)
+        self.reports.limits.merge(news.limits)
+        self.reports.departures.merge(news.departures)
         if asked_at is not None and news.store_s is not None:
             state_view.store_clock.observe(asked_at, news.store_s)
         keys = _apply(state_view.state_rows, news.state, news.state_read_s)
--- a/src/coralfall/traffic/forwarder.py
+++ b/src/coralfall/traffic/forwarder.py
@@ -32,11 +32,11 @@
 if t.TYPE_CHECKING:
     from ..forwarding.request import RequestBody
     from ..ids import TargetId
-    from ..placement.affinity import AffinitySteering, Place
-    from ..placement.budget import SendBudget
+    from ..placement.affinity import AffinitySteering, TargetReservation
     from ..placement.fingerprint import Fingerprint, HeadDigest
     from ..placement.quarantine import Quarantine
-    from ..placement.targets import TargetBook, TargetState
+    from ..placement.retry_budget import SharedRetryBudget
+    from ..placement.targets import TargetRegistry, TargetState
     from ..process.clock import Clock
     from .crashes import CrashWatch
     from .pool import ConnectionPool
@@ -76,9 +76,9 @@
         self,
         names: "HeaderNames",
         steering: "AffinitySteering",
-        targets: "TargetBook",
+        targets: "TargetRegistry",
         pool: "ConnectionPool",
-        budget: "SendBudget",
+        budget: "SharedRetryBudget",
         crashes: "CrashWatch",
         quarantine: "Quarantine",
         permits: "TargetPermits",
@@ -107,10 +107,10 @@
         """The reply to a request; failures are replies too."""
         if self._is_quarantined(request) and not self._may_try(request):
             return reply_of_error(_quarantined())
-        self._budget.request(request.service)
+        self._budget.record_request(request.service)
         if request.left_s is not None:
             admission = self._steering.admission
-            admission.note_arrival(request.route, request.left_s)
+            admission.record_arrival(request.route, request.left_s)
             request.late = admission.is_late(request.route, request.left_s)
         try:
             return await self._forward(request)
@@ -126,15 +126,15 @@
         failure: t.Optional[CoralfallError] = None
         while True:
             try:
-                place = self._choose(request, tried, again)
+                reservation = self._choose(request, tried, again)
                 again = None
             except RefusedError as refusal:
                 if failed is not None:
                     return failed
                 raise _weightier(failure, refusal)
-            tried.add(place.state.target.target_id)
+            tried.add(reservation.state.target.target_id)
             try:
-                answer = await self._send(request, place)
+                answer = await self._send(request, reservation)
             except TargetError as error:
                 failure = _weightier(failure, error)
                 if error.fields.get("reason") == NO_FILES and failed is None:
@@ -157,8 +157,8 @@
                     raise failure from error
                 if error.fields.get("reason") == _STALE:
                     # The target itself is well as far as anybody knows.
-                    tried.discard(place.state.target.target_id)
-                again = place.state if _may_ask_again(error, place.state) else None
+                    tried.discard(reservation.state.target.target_id)
+                again = reservation.state if _may_ask_again(error, reservation.state) else None
                 continue
             reply = reply_of_answer(answer, request.method == "HEAD")
             if answer.status < _FIRST_SERVER_ERROR or failed is not None:
@@ -172,7 +172,7 @@
         request: SteeredRequest,
         tried: "t.Set[TargetId]",
         again: "t.Optional[TargetState]",
-    ) -> "Place":
+    ) -> "TargetReservation":
         left = request.deadline - self._clock.monotonic()
         return self._steering.choose(
             request.route,
@@ -194,31 +194,33 @@
             return False
         if self._is_quarantined(request):
             return False
-        return self._budget.take(request.service)
+        return self._budget.try_spend(request.service)
 
     def _has_time(self, request: SteeredRequest) -> bool:
         return request.deadline - self._clock.monotonic() > defaults.MIN_SEND_TIME_LEFT_S
 
-    async def _send(self, request: SteeredRequest, place: "Place") -> ServerAnswer:
+    async def _send(
+        self, request: SteeredRequest, reservation: "TargetReservation"
+    ) -> ServerAnswer:
         """One send; the place is given back whatever happens.
 
         :raises TargetNotRunError: with evidence that the target did not run it.
         :raises TargetUnknownError: if it may have.
         """
-        state = place.state
+        state = reservation.state
         restriction = self._targets.reports.restriction_of(state.target)
-        send = Send(place, self._permits.limits.rate_of(state.target), restriction)
+        send = Send(reservation, self._permits.limits.rate_of(state.target), restriction)
         request.sends.append(send)
         began = self._clock.monotonic()
         try:
-            send.permit = await self._take_permit(request, place)
+            send.permit = await self._take_permit(request, reservation)
             began = self._clock.monotonic()
-            answer = await self._exchange(request, place, send)
+            answer = await self._exchange(request, reservation, send)
         except TargetNotRunError as error:
             send.not_run = True
             send.result = str(error.fields.get("reason", "not-run"))
             if send.result == "connect":
-                state.fail(reached=False, refused=bool(error.fields.get("refused")))
+                state.record_failure(reached=False, refused=bool(error.fields.get("refused")))
             raise
         except TargetUnknownError as error:
             send.result = str(error.fields.get("reason", error.code))
@@ -226,8 +228,8 @@
                 raise
             silent = began if isinstance(error, TargetTimeoutError) else None
             if silent is not None:
-                place.note(self._clock.monotonic(), self._clock.monotonic() - began)
-            state.fail(reached=True, silent_since=silent)
+                reservation.record_latency(self._clock.monotonic(), self._clock.monotonic() - began)
+            state.record_failure(reached=True, silent_since=silent)
             raise
         except asyncio.CancelledError:
             send.result = "cancelled"
@@ -235,18 +237,20 @@
         finally:
             send.seconds = self._clock.monotonic() - began
             if send.sent:
-                place.release()
+                reservation.release()
             else:
-                place.withdraw()
+                reservation.cancel()
                 self._permits.give_back(send.permit)
-        state.succeed()
+        state.record_success()
         self._note_answer(request, answer)
-        place.answered(self._clock.monotonic(), send.seconds)
+        reservation.record_answer(self._clock.monotonic(), send.seconds)
         send.result = str(answer.status)
         return answer
 
-    async def _exchange(self, request: SteeredRequest, place: "Place", send: Send) -> ServerAnswer:
-        state = place.state
+    async def _exchange(
+        self, request: SteeredRequest, reservation: "TargetReservation", send: Send
+    ) -> ServerAnswer:
+        state = reservation.state
         seconds = min(defaults.TARGET_CONNECT_S, request.deadline - self._clock.monotonic())
         if seconds <= 0:
             raise TargetNotRunError("no time left to send", reason="late")
@@ -254,13 +258,13 @@
         if send.permit is None:
             # The limit may have been learnt of while the connection was opened.
             try:
-                send.permit = await self._take_permit(request, place)
+                send.permit = await self._take_permit(request, reservation)
             except BaseException:
                 self._pool.give(state.target, connection)
                 raise
         left = request.deadline - self._clock.monotonic()
         objection = (
-            "late" if left < defaults.MIN_SEND_TIME_LEFT_S else self._targets.objection(state)
+            "late" if left < defaults.MIN_SEND_TIME_LEFT_S else self._targets.block_reason(state)
         )
         if objection is not None:
             self._pool.give(state.target, connection)
@@ -312,9 +316,11 @@
             raise
 
     async def _take_permit(
-        self, request: SteeredRequest, place: "Place"
+        self, request: SteeredRequest, reservation: "TargetReservation"
     ) -> "t.Optional[TargetPermit]":
-        return await self._permits.take(place.state.target, request.deadline, place.known)
+        return await self._permits.take(
+            reservation.state.target, request.deadline, reservation.known
+        )
 
     def _note_cut_off(self, request: SteeredRequest, state: "TargetState") -> None:
         found = self._fingerprint_of(request)
@@ -324,7 +330,7 @@
     def _note_answer(self, request: SteeredRequest, answer: ServerAnswer) -> None:
         suspect = self._suspect_of(request)
         if suspect is not None and answer.status < _FIRST_SERVER_ERROR:
-            self._quarantine.note_answer(suspect)
+            self._quarantine.record_answer(suspect)
 
     def _is_quarantined(self, request: SteeredRequest) -> bool:
         suspect = self._suspect_of(request)
@@ -334,12 +340,14 @@
 
     def _may_try(self, request: SteeredRequest) -> bool:
         suspect = self._suspect_of(request)
-        request.on_trial = suspect is not None and self._quarantine.may_try(suspect)
+        request.on_trial = suspect is not None and self._quarantine.start_trial(suspect)
         return request.on_trial
 
     def _suspect_of(self, request: SteeredRequest) -> "t.Optional[Fingerprint]":
         """Its fingerprint, if one like it is suspected; bodies of others are not looked at."""
-        if self._quarantine.empty or not self._quarantine.has_head(self._head_of(request)):
+        if self._quarantine.is_empty or not self._quarantine.has_suspect_head(
+            self._head_of(request)
+        ):
             return None
         return self._fingerprint_of(request)
 
--- a/src/coralfall/traffic/gossip.py
+++ b/src/coralfall/traffic/gossip.py
@@ -112,9 +112,9 @@
         self._pushing: t.Optional[asyncio.TimerHandle] = None
         self._may_push_at = -float("inf")
         members.on_update = self._push_soon
-        exchange.quarantine.on_news = self._push_soon
-        exchange.reports.limits.on_news = self._push_soon
-        exchange.reports.departures.on_news = self._push_soon
+        exchange.quarantine.on_update = self._push_soon
+        exchange.reports.limits.on_update = self._push_soon
+        exchange.reports.departures.on_update = self._push_soon
 
     async def run(self) -> None:
         try:
--- a/src/coralfall/traffic/leases.py
+++ b/src/coralfall/traffic/leases.py
@@ -10,7 +10,7 @@
 
 if t.TYPE_CHECKING:
     from ..ids import EntryId
-    from ..placement.ledger import Ledger, Slot
+    from ..placement.buckets import Slot, TokenBuckets
     from ..process.clock import Clock
     from .members import Members
 
@@ -31,9 +31,9 @@
     :param clock: tells the time.
     """
 
-    def __init__(self, members: "Members", ledger: "Ledger", clock: "Clock") -> None:
+    def __init__(self, members: "Members", buckets: "TokenBuckets", clock: "Clock") -> None:
         self._members = members
-        self._ledger = ledger
+        self._buckets = buckets
         self._clock = clock
         self._by_slot: t.Dict["Slot", _Lease] = {}
 
@@ -80,7 +80,7 @@
             lease = self._by_slot.setdefault(slot, _Lease())
             lease.lessee = own_id
             lease.until = until
-        self._ledger.lend(own_id, free, share, self.seconds())
+        self._buckets.add_lease(own_id, free, share, self.seconds())
 
     def release(self, owner_id: "EntryId") -> None:
         """Note that an owner can use nothing any more."""
--- a/src/coralfall/traffic/messages.py
+++ b/src/coralfall/traffic/messages.py
@@ -6,10 +6,10 @@
 
 from ..ids import EntryId, Incarnation, Revision
 from ..peering.message import Message
-from ..placement.ledger import Grant, Limit, LimitKey, SlotGroup
+from ..placement.buckets import Grant, Limit, LimitKey, SlotGroup
 from ..placement.lifetime import Lifetime
 from ..placement.quarantine import Suspect
-from ..placement.target_limits import NamedLimit
+from ..placement.target_limits import ReportedLimit
 from .delta import Delta
 from .model import EntryRecord
 
@@ -51,7 +51,7 @@
     #: See :meth:`..placement.quarantine.Quarantine.sum`.
     suspects_sum: int = 0
     #: Limits of targets that are news, or all if the receiver's sum is another one.
-    limits: t.Tuple[NamedLimit, ...] = ()
+    limits: t.Tuple[ReportedLimit, ...] = ()
     #: See :meth:`..placement.target_limits.TargetLimits.sum`.
     limits_sum: int = 0
     #: Targets' lifetimes that leave, as far as they are news, or all if the receiver's sum is
--- a/src/coralfall/traffic/node.py
+++ b/src/coralfall/traffic/node.py
@@ -12,10 +12,10 @@
 from ..peering.messages import Hello
 from ..peering.peer_links import PeerLinks
 from ..placement.affinity import AffinitySteering
-from ..placement.budget import SendBudget
-from ..placement.ledger import Ledger
+from ..placement.buckets import TokenBuckets
 from ..placement.quarantine import Quarantine, crash_digest
-from ..placement.targets import TargetBook
+from ..placement.retry_budget import SharedRetryBudget
+from ..placement.targets import TargetRegistry
 from ..process import log
 from ..process.child import PERIODIC_JITTER, Child, FunctionChild, PeriodicChild
 from ..process.metrics import Metrics
@@ -89,11 +89,11 @@
         self.telemetry = Telemetry()
         self._traffic = Traffic()
         self.metrics = Metrics(settings.metrics)
-        self.targets = TargetBook(clock, settings.bounds.target_visibility_s())
+        self.targets = TargetRegistry(clock, settings.bounds.target_visibility_s())
         self.steering = AffinitySteering(settings, self.targets, clock)
         self.state_view = StateView(row_codec, self.steering, self.targets, clock, rng)
         self.members = Members(_own_record(settings, clock), clock, rng)
-        self.budget = SendBudget(settings.bounds, clock)
+        self.budget = SharedRetryBudget(settings.bounds, clock)
         self.pool = ConnectionPool(clock)
         self.targets.on_restart = self.pool.forget
         self.crashes = CrashWatch(self.targets, self.pool, clock)
@@ -114,7 +114,7 @@
         self.identification = Identification(names, self.state_view, settings.bounds)
         self.lookup = Lookup(settings, self.members, self.state_view)
         self.registry = Registry(store.feed, store.table, row_codec, self.members, rng)
-        self.quarantine.tries = lambda suspect: self.members.is_responsible_for(str(suspect))
+        self.quarantine.runs_trial = lambda suspect: self.members.is_responsible_for(str(suspect))
         self._make_peers()
         self.callers = CallersApp(
             names,
@@ -178,7 +178,7 @@
         self.budget.bounds = settings.bounds
         self.identification.bounds = settings.bounds
         self.quotas.bounds = settings.bounds
-        self.quarantine.set_hold(settings.quarantine_s)
+        self.quarantine.set_retention(settings.quarantine_s)
         self.lookup.set_bounds(settings.bounds)
         self.gossip.seeds = settings.seeds
         for follower, pace in zip(self.followers, _paces(settings.bounds), strict=True):
@@ -200,17 +200,17 @@
         self.state_view.tick()
         self.pool.close_idle()
         self.crashes.forget()
-        self.quarantine.forget()
+        self.quarantine.expire()
         self.quotas.forget()
         self.targets.reports.tick(self.targets.by_id)
-        self.budget.entries = self.members.fleet_size()
+        self.budget.entry_count = self.members.fleet_size()
         self.steering.cold_shares.set_entries(self.members.known_ids())
 
     def _note_crash(self, crash: Crash) -> None:
         target = crash.target
         self.telemetry.count_crash(target.service)
         requests = [(request.fingerprint, request.caller) for request in crash.requests]
-        self.quarantine.note_crash(crash_digest(target.target_id, target.born), requests)
+        self.quarantine.record_crash(crash_digest(target.target_id, target.born), requests)
 
     def update_readiness(self) -> None:
         """Let callers come as soon as enough is known and the callers' port is open."""
@@ -239,7 +239,7 @@
         own = self.members.own_record
         hello = Hello(entry_id=own.entry_id, incarnation=own.incarnation)
         links = PeerLinks(_fleet_key(settings), hello, self._traffic)
-        self.permits = Permits(self.members, links, Ledger(self.clock), self.clock)
+        self.permits = Permits(self.members, links, TokenBuckets(self.clock), self.clock)
         self.quotas = Quotas(self.permits, self.state_view, settings.bounds, self.clock)
         self.target_permits = TargetPermits(
             self.permits, self.steering.limits, self.targets, settings, self.clock
--- a/src/coralfall/traffic/owners.py
+++ b/src/coralfall/traffic/owners.py
@@ -2,7 +2,7 @@
 
 Each region has a few, those with the widest links; rendezvous hashing picks one of them for each
 slot. Two entries that see different fleets find different owners, which costs tokens but breaks no
-limit: see :mod:`..placement.ledger`.
+limit: see :mod:`..placement.buckets`.
 """
 
 import typing as t
@@ -14,7 +14,7 @@
 if t.TYPE_CHECKING:
     from ..exceptions import PeerError
     from ..ids import EntryId, Incarnation, RegionId
-    from ..placement.ledger import Slot
+    from ..placement.buckets import Slot
     from ..process.clock import Clock
     from .members import Members
     from .model import EntryRecord
--- a/src/coralfall/traffic/permits.py
+++ b/src/coralfall/traffic/permits.py
@@ -1,6 +1,6 @@
 """Permits: acquires tokens from the owners of limits, and grants them as an owner.
 
-How shares of a limit are leased is in :mod:`..placement.ledger`. Here is the protocol between
+How shares of a limit are leased is in :mod:`..placement.buckets`. Here is the protocol between
 entries. Permit requests that wait for one owner go in one message, and the next one leaves when
 its reply is there, so a limit that many requests need costs no more messages than round trips.
 """
@@ -12,7 +12,7 @@
 from .. import defaults
 from ..exceptions import PeerError
 from ..ids import EntryState
-from ..placement.ledger import UNLIMITED, Grant, grouped, slot_of
+from ..placement.buckets import UNLIMITED, Grant, group_by_region, slot_of
 from ..process.child import Child
 from .acquisition import Acquisition, Answer, deal
 from .leases import Leases
@@ -23,7 +23,7 @@
     from ..ids import EntryId, Incarnation
     from ..peering.messages import Hello
     from ..peering.peer_links import PeerLinks
-    from ..placement.ledger import Ledger, Limit, LimitKey, Slot
+    from ..placement.buckets import Limit, LimitKey, Slot, TokenBuckets
     from ..process.clock import Clock
     from .members import Members
     from .owners import Owner
@@ -82,13 +82,13 @@
     name = "permits"
 
     def __init__(
-        self, members: "Members", links: "PeerLinks", ledger: "Ledger", clock: "Clock"
+        self, members: "Members", links: "PeerLinks", buckets: "TokenBuckets", clock: "Clock"
     ) -> None:
         self._members = members
         self._links = links
-        self._ledger = ledger
+        self._buckets = buckets
         self._clock = clock
-        self._leases = Leases(members, ledger, clock)
+        self._leases = Leases(members, buckets, clock)
         self.owners = Owners(members, self._leases.holds_any, clock)
         #: The limits; set once, before the start.
         self.sources: t.List[LimitSource] = []
@@ -101,7 +101,7 @@
                 slots = self._slots()
                 if slots:
                     self._renew(slots)
-                    self._ledger.tick()
+                    self._buckets.tick()
                 await asyncio.sleep(defaults.QUOTA_RENEW_INTERVAL_S)
         finally:
             for task in self._tasks:
@@ -141,7 +141,7 @@
     def give_back(self, key: "LimitKey", limit: "Limit", owner_id: "EntryId") -> None:
         """Return a token to its owner: its request was not sent."""
         if owner_id == self._members.own_record.entry_id:
-            self._ledger.give_back(key, 1)
+            self._buckets.return_tokens(key, 1)
         elif owner_id in self.owners.by_id:
             self._queue_of(owner_id).note_unused(key, limit, 1)
 
@@ -151,11 +151,11 @@
         own = self._members.own_record
         closed = own.state is EntryState.LEAVING
         if closed:
-            self._ledger.end(peer.entry_id)
+            self._buckets.end_leases(peer.entry_id)
         elif request.incarnation == own.incarnation and request.answered_s <= now:
             seconds = request.answered_s + request.seconds - now
             slots = [slot for group in request.slots for slot in group.slots()]
-            self._ledger.lend(peer.entry_id, slots, request.share, seconds)
+            self._buckets.add_lease(peer.entry_id, slots, request.share, seconds)
         return PermitReply(
             grants=tuple([self._grant(want) for want in request.wants]), now_s=now, closed=closed
         )
@@ -165,8 +165,8 @@
         if limit == UNLIMITED:
             return Grant(want.count, 0.0, 0.0, 1.0)
         if want.unused:
-            self._ledger.give_back(want.key, want.unused)
-        return self._ledger.take(want.key, limit, want.count, want.spare_only)
+            self._buckets.return_tokens(want.key, want.unused)
+        return self._buckets.take(want.key, limit, want.count, want.spare_only)
 
     def _limit_of(self, key: "LimitKey") -> "t.Optional[Limit]":
         for source in self.sources:
@@ -183,7 +183,9 @@
             slot = slot_of(acquisition.key)
             if self.owners.of(slot)[0] == owner_id:
                 self._leases.keep([slot])
-            grant = self._ledger.take(acquisition.key, acquisition.limit, 1, acquisition.spare_only)
+            grant = self._buckets.take(
+                acquisition.key, acquisition.limit, 1, acquisition.spare_only
+            )
             acquisition.take(Answer(grant, owner_id, self._clock.monotonic()))
             return
         owner = self.owners.by_id.get(owner_id)
@@ -252,7 +254,7 @@
         self._leases.lease(slots, owner.entry_id, until)
         return PermitRequest(
             wants=wants,
-            slots=grouped(slots),
+            slots=group_by_region(slots),
             share=share,
             seconds=seconds,
             answered_s=owner.answered_s,
--- a/src/coralfall/traffic/quotas.py
+++ b/src/coralfall/traffic/quotas.py
@@ -6,13 +6,13 @@
 from .. import defaults
 from ..exceptions import OverLimitError, RefusedError
 from ..ids import TenantId
-from ..placement.ledger import SLOTS, UNLIMITED, LimitKind, Slot
-from ..placement.quota import key_of, limit_of
+from ..placement.buckets import SLOT_COUNT, UNLIMITED, LimitKind, Slot
+from ..placement.tenant_limits import limit_of, tenant_limit_key
 from .permits import LimitSource
 
 if t.TYPE_CHECKING:
     from ..ids import EntryId
-    from ..placement.ledger import Limit, LimitKey
+    from ..placement.buckets import Limit, LimitKey
     from ..process.clock import Clock
     from .acquisition import Acquisition, Answer
     from .model import Tenant
@@ -26,7 +26,7 @@
 #: Part of all shares that owners must have whose refusal says that a tenant is over its limit.
 _KNOWN_PART = 0.5
 
-_SLOTS = tuple([Slot(number) for number in range(SLOTS)])
+_SLOTS = tuple([Slot(number) for number in range(SLOT_COUNT)])
 
 
 class _Backoff(t.NamedTuple):
@@ -91,7 +91,7 @@
         if tenant is None or owner_id is None:
             return
         limit = limit_of(tenant, self.bounds)
-        self._permits.give_back(key_of(tenant.tenant_id), limit, owner_id)
+        self._permits.give_back(tenant_limit_key(tenant.tenant_id), limit, owner_id)
 
     def forget(self) -> None:
         """Drops backoffs that are over."""
@@ -106,7 +106,7 @@
 
         :raises RefusedError: if they still have few shares then.
         """
-        key = key_of(tenant.tenant_id)
+        key = tenant_limit_key(tenant.tenant_id)
         while True:
             acquisition = await self._permits.acquire(key, limit, until)
             answer = _final(acquisition)
--- a/src/coralfall/traffic/state_view.py
+++ b/src/coralfall/traffic/state_view.py
@@ -5,7 +5,7 @@
 
 from .. import defaults
 from ..ids import TargetId
-from ..placement.split import Split
+from ..placement.weighted_split import WeightedSplit
 from ..process import log
 from .model import DesiredState
 from .replica import Replica
@@ -16,7 +16,7 @@
 
 if t.TYPE_CHECKING:
     from ..placement.affinity import AffinitySteering
-    from ..placement.targets import TargetBook
+    from ..placement.targets import TargetRegistry
     from ..process.clock import Clock
     from .model import Target
     from .row_codec import RowCodec
@@ -39,7 +39,7 @@
         self,
         row_codec: "RowCodec",
         steering: "AffinitySteering",
-        targets: "TargetBook",
+        targets: "TargetRegistry",
         clock: "Clock",
         rng: random.Random,
     ) -> None:
@@ -56,7 +56,7 @@
         self.state: t.Optional[DesiredState] = None
         self.routes: t.Optional[RouteTable] = None
         self.tenants = TenantTable(None)
-        self.split = Split(rng)
+        self.split = WeightedSplit(rng)
         #: Called with each new desired state, and after anything else was learnt.
         self.on_state: t.Callable[[DesiredState], None] = lambda state: None
         self.on_update: t.Callable[[], None] = lambda: None
--- a/src/coralfall/traffic/steered_request.py
+++ b/src/coralfall/traffic/steered_request.py
@@ -7,7 +7,7 @@
 if t.TYPE_CHECKING:
     from ..forwarding.request import RequestBody
     from ..ids import RegionId, ServiceId
-    from ..placement.affinity import Place
+    from ..placement.affinity import TargetReservation
     from ..placement.fingerprint import Fingerprint, HeadDigest
     from .connection import Headers
     from .model import Route, Tenant
@@ -34,14 +34,17 @@
     )
 
     def __init__(
-        self, place: "Place", limit_per_s: t.Optional[float] = None, restriction: str = ""
+        self,
+        reservation: "TargetReservation",
+        limit_per_s: t.Optional[float] = None,
+        restriction: str = "",
     ) -> None:
-        target = place.state.target
+        target = reservation.state.target
         self.target_id = target.target_id
-        known = "known" if place.known else "new"
-        where = "near" if place.near else "far"
+        known = "known" if reservation.known else "new"
+        where = "near" if reservation.near else "far"
         #: What the request meets, as far as known here: load and slots, object, region.
-        self._met = f"{place.load:.1f}/{target.slots}:{known}:{where}"
+        self._met = f"{reservation.load:.1f}/{target.slots}:{known}:{where}"
         #: Limit that the target had named, in requests a second over all entries.
         self.limit_per_s = limit_per_s
         if limit_per_s is not None:
--- a/src/coralfall/traffic/target_permits.py
+++ b/src/coralfall/traffic/target_permits.py
@@ -1,6 +1,6 @@
 """Target permits: holds all entries together to the limits that targets name.
 
-Each send to a target with a limit needs a token of its bucket, see :mod:`..placement.ledger`. The
+Each send to a target with a limit needs a token of its bucket, see :mod:`..placement.buckets`. The
 owner in the target's region grants them, so that whoever can reach the target can most likely
 reach the owner too. Nobody waits for a token: a target without one is passed over.
 """
@@ -12,15 +12,15 @@
 from .. import defaults
 from ..exceptions import TargetNotRunError
 from ..ids import EntryId, TargetId
-from ..placement.ledger import Limit, LimitKey, LimitKind, slot_of
-from ..placement.target_limits import key_of
+from ..placement.buckets import Limit, LimitKey, LimitKind, slot_of
+from ..placement.target_limits import target_limit_key
 from .permits import LimitSource
 
 if t.TYPE_CHECKING:
     from ..ids import RegionId
-    from ..placement.ledger import Slot
+    from ..placement.buckets import Slot
     from ..placement.target_limits import TargetLimits
-    from ..placement.targets import TargetBook
+    from ..placement.targets import TargetRegistry
     from ..process.clock import Clock
     from .acquisition import Acquisition
     from .model import Target
@@ -57,7 +57,7 @@
         self,
         permits: "Permits",
         limits: "TargetLimits",
-        targets: "TargetBook",
+        targets: "TargetRegistry",
         settings: "SteerSettings",
         clock: "Clock",
     ) -> None:
@@ -99,7 +99,7 @@
         limit = self.limits.bucket_of(target.target_id)
         if limit is None or not self.is_needed(target):
             return None
-        key = key_of(target.target_id, self._region_of(target))
+        key = target_limit_key(target.target_id, self._region_of(target))
         until = min(until, self._clock.monotonic() + defaults.QUOTA_HEDGE_DELAY_S)
         # A target serves objects that it knows several times faster, and what it learns in their
         # place is of no use once its tokens go to others.
@@ -108,7 +108,7 @@
         )
         if acquisition.granted is not None:
             return TargetPermit(key, limit, acquisition.granted.owner_id)
-        self.limits.exhaust(target, _backoff_s(acquisition), known)
+        self.limits.mark_exhausted(target, _backoff_s(acquisition), known)
         message = f"target {target.target_id} allows {limit.rate_per_s:g} requests/s in all"
         wait_s = max(self.limits.wait_s(target, known), defaults.STEER_RETRY_AFTER_S)
         raise TargetNotRunError(message, reason=LIMITED, come_back_s=wait_s)
@@ -122,7 +122,7 @@
         for target_id in self.limits.in_force():
             state = self._targets.by_id.get(target_id)
             if state is not None:
-                yield slot_of(key_of(target_id, self._region_of(state.target)))
+                yield slot_of(target_limit_key(target_id, self._region_of(state.target)))
 
     def _region_of(self, target: "Target") -> "t.Optional[RegionId]":
         return self._settings.regions_by_zone.get(target.zone)
--- a/src/coralfall/traffic/telemetry.py
+++ b/src/coralfall/traffic/telemetry.py
@@ -166,9 +166,9 @@
     limited = len(node.steering.limits.in_force())
     gauge("targets_limited", limited, "Targets that name a limit for all entries together.")
     reports = node.targets.reports
-    for service, count in reports.departures.heard_by_service.items():
+    for service, count in reports.departures.detected_by_service.items():
         gauge("target_departures", count, "Targets that said so as they left.", service=service)
-    for service, count in reports.cooldowns.begun_by_service.items():
+    for service, count in reports.cooldowns.started_by_service.items():
         gauge("target_cooldowns", count, "Cooldowns that targets began.", service=service)
     unread = len(node.forwarder.reader.unread)
     gauge("unread_headers", unread, "Names of headers of answers that no module reads.")
--- a/tests/platform_adapter/test_template.py
+++ b/tests/platform_adapter/test_template.py
@@ -15,7 +15,7 @@
 
 from coralfall import cli
 from coralfall.exceptions import SettingsError
-from coralfall.placement.budget import SendBudget
+from coralfall.placement.retry_budget import SharedRetryBudget
 from coralfall.process.clock import ManualClock
 from coralfall.settings import parse_settings
 from coralfall.traffic.pace import pace_of
@@ -76,9 +76,9 @@
         )
         for number in used:
             self.assertTrue(math.isfinite(number) and number >= 0, used)
-        budget = SendBudget(bounds, ManualClock(100.0))
-        budget.request(PEDIDOS)
-        self.assertIn(budget.take(PEDIDOS), (True, False))
+        budget = SharedRetryBudget(bounds, ManualClock(100.0))
+        budget.record_request(PEDIDOS)
+        self.assertIn(budget.try_spend(PEDIDOS), (True, False))
         self.assertGreater(settings.max_caller_connections(), 0)
         self.assertGreaterEqual(pace.interval_s, 0.05, "the store is asked without a pause")
 
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -109,7 +109,7 @@
 
 
 @dataclasses.dataclass
-class NamedLimit:
+class ReportedLimit:
     """A target's limit, and for how long its answers name it."""
 
     target: str
@@ -135,7 +135,7 @@
     #: When targets ended under a request, by its path.
     ended_at: t.Dict[str, t.List[float]] = dataclasses.field(default_factory=dict)
     #: Limits that targets named.
-    limits: t.List[NamedLimit] = dataclasses.field(default_factory=list)
+    limits: t.List[ReportedLimit] = dataclasses.field(default_factory=list)
     #: Times without requests that targets asked for.
     rejections: t.List[Rejection] = dataclasses.field(default_factory=list)
     #: What the run itself found, beside what the rules find.
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -13,9 +13,9 @@
     Arrival,
     Attempt,
     Lifetime,
-    NamedLimit,
     Record,
     Rejection,
+    ReportedLimit,
     Sort,
     Tenant,
     answer_to,
@@ -125,7 +125,7 @@
         record.attempts = [one for one in seen if isinstance(one, Attempt)]
         record.arrivals = [one for one in seen if isinstance(one, Arrival)]
         record.ended_at = {DEADLY: [5.0, 6.0, 7.0]}
-        record.limits = [NamedLimit("i-8", 2.0, 9.0, 20.0)]
+        record.limits = [ReportedLimit("i-8", 2.0, 9.0, 20.0)]
         record.rejections = [one for one in seen if isinstance(one, Rejection)]
         record.lifetimes = [one for one in seen if isinstance(one, Lifetime)]
         return record
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -8,7 +8,7 @@
 import typing as t
 
 from tests.soak.proxy import Proxy
-from tests.soak.record import NamedLimit
+from tests.soak.record import ReportedLimit
 from tests.soak.targets import SoakTarget
 from tests.soak.world import SERVICES, SoakEntry, World
 
@@ -249,7 +249,7 @@
     if target.limit_per_s is not None:
         return
     target.limit_per_s = rng.choice((0.4, 2.0, 4.0))
-    named = NamedLimit(target.instance_id, target.limit_per_s, time.monotonic())
+    named = ReportedLimit(target.instance_id, target.limit_per_s, time.monotonic())
     world.record.limits.append(named)
     await asyncio.sleep(rng.uniform(*_LIMITED_S))
     target.limit_per_s = None
--- a/tests/traffic/limit_fleet.py
+++ b/tests/traffic/limit_fleet.py
@@ -9,7 +9,7 @@
 
 from coralfall.exceptions import TargetNotRunError
 from coralfall.placement.target_limits import TargetLimits
-from coralfall.placement.targets import TargetBook
+from coralfall.placement.targets import TargetRegistry
 from coralfall.process.clock import Clock
 from coralfall.traffic.target_permits import TargetPermits
 from tests.traffic.makers import NORTE, make_settings, make_target, make_tenant
@@ -35,8 +35,8 @@
     def start(self) -> None:
         super().start()
         self.limits = TargetLimits(self._clock)
-        self.limits.on_news = lambda at_once: self._fleet.push(self)
-        targets = TargetBook(self._clock)
+        self.limits.on_update = lambda at_once: self._fleet.push(self)
+        targets = TargetRegistry(self._clock)
         targets.update({TARGET.target_id: TARGET})
         self.targets = targets
         settings = make_settings(regions_by_zone={NORTE: REGIONS[0]})
@@ -77,7 +77,7 @@
 
     async def _push(self, entry: LimitEntry) -> None:
         await asyncio.sleep(PUSH_S)
-        news = entry.limits.recent()
+        news = entry.limits.recent_updates()
         for other in self.entries:
             self._tell(entry, t.cast(LimitEntry, other), news)
 
@@ -87,12 +87,16 @@
             for entry in t.cast(t.List[LimitEntry], self.entries):
                 entry.limits.tick(entry.targets.by_id)
                 other = t.cast(LimitEntry, self.rng.choice(self.entries))
-                agreed = entry.limits.sum() == other.limits.sum()
-                self._tell(other, entry, other.limits.recent() if agreed else other.limits.all())
+                agreed = entry.limits.checksum() == other.limits.checksum()
+                self._tell(
+                    other,
+                    entry,
+                    other.limits.recent_updates() if agreed else other.limits.snapshot(),
+                )
 
     def _tell(self, entry: LimitEntry, other: LimitEntry, news: t.Any) -> None:
         if entry.running and other.running and self.reaches(entry, other):
-            other.limits.hear(news)
+            other.limits.merge(news)
             if other.limits.rate_of(TARGET) is not None:
                 other.known_at = min(other.known_at, self.clock.monotonic())
 
@@ -119,7 +123,7 @@
         named = self.limit_per_s
         await asyncio.sleep(self.way_s)
         if sender.running and sender.incarnation == incarnation:
-            limits.note_answer(TARGET, named, sent_at)
+            limits.record_answer(TARGET, named, sent_at)
             if named is not None:
                 sender.known_at = min(sender.known_at, self.clock.monotonic())
 
--- a/tests/traffic/makers.py
+++ b/tests/traffic/makers.py
@@ -5,8 +5,8 @@
 
 from coralfall.ids import EntryId, Incarnation, RegionId, ServiceId, TargetId, TenantId, ZoneId
 from coralfall.placement.affinity import AffinitySteering
-from coralfall.placement.cold import ColdShares
-from coralfall.placement.targets import TargetBook
+from coralfall.placement.cold_targets import ColdTargetShares
+from coralfall.placement.targets import TargetRegistry
 from coralfall.process.clock import ManualClock
 from coralfall.traffic.model import (
     Backend,
@@ -119,9 +119,9 @@
     entry_id: EntryId, entries: t.Collection[EntryId], target_id: TargetId, per_s: float
 ) -> int:
     """What one entry may send to a cold target, as it knows the entries."""
-    shares = ColdShares(entry_id)
+    shares = ColdTargetShares(entry_id)
     shares.set_entries(entries)
-    return shares.of(target_id, per_s)
+    return shares.allowance_of(target_id, per_s)
 
 
 class SteeringFixture:
@@ -134,7 +134,7 @@
         settings: t.Optional[SteerSettings] = None,
     ) -> None:
         self.clock = ManualClock(100.0)
-        self.targets = TargetBook(self.clock, make_settings().bounds.target_visibility_s())
+        self.targets = TargetRegistry(self.clock, make_settings().bounds.target_visibility_s())
         self.steering = AffinitySteering(settings or make_settings(), self.targets, self.clock)
         self.steering.set_state(make_state())
         self.steering.cold_shares.set_entries([EntryId(name) for name in entries])
--- a/tests/traffic/quota_fleet.py
+++ b/tests/traffic/quota_fleet.py
@@ -16,7 +16,7 @@
 )
 from coralfall.ids import EntryId, EntryState, Incarnation, RegionId
 from coralfall.peering.messages import Hello
-from coralfall.placement.ledger import Ledger
+from coralfall.placement.buckets import TokenBuckets
 from coralfall.process.clock import Clock
 from coralfall.traffic.messages import PermitReply, PermitRequest
 from coralfall.traffic.model import EntryRecord, Tenant
@@ -60,7 +60,7 @@
 def make_permits(clock: Clock) -> Permits:
     """Permits of an entry that is alone and counts for all limits itself."""
     members = FakeMembers(make_record("e1"))
-    return Permits(t.cast(t.Any, members), t.cast(t.Any, None), Ledger(clock), clock)
+    return Permits(t.cast(t.Any, members), t.cast(t.Any, None), TokenBuckets(clock), clock)
 
 
 class FakeStateView:
@@ -149,7 +149,7 @@
         self.permits = Permits(
             t.cast(t.Any, self.members),
             t.cast(t.Any, FakeLinks(self._fleet, self)),
-            Ledger(self._clock),
+            TokenBuckets(self._clock),
             self._clock,
         )
         self.quotas = Quotas(
--- a/tests/traffic/test_cooldowns.py
+++ b/tests/traffic/test_cooldowns.py
@@ -33,7 +33,7 @@
             self.say(target, _RESTS)
 
     def say(self, target: Target, report: TargetReport) -> None:
-        self.steered.targets.reports.note(self.state_of(target), report, 0.0)
+        self.steered.targets.reports.record(self.state_of(target), report, 0.0)
 
     def state_of(self, target: Target) -> TargetState:
         return self.steered.targets.by_id[target.target_id]
@@ -43,9 +43,9 @@
         ids = set()
         for number in range(40):
             key = b"%d" % number
-            place = self.steered.steering.choose(make_route(), PEDIDOS, key, (), **options)
-            place.release()
-            ids.add(str(place.state.target.target_id))
+            reservation = self.steered.steering.choose(make_route(), PEDIDOS, key, (), **options)
+            reservation.release()
+            ids.add(str(reservation.state.target.target_id))
         return ids
 
     def refusal(self, tried: t.Collection[TargetId] = ()) -> RefusedError:
@@ -80,13 +80,13 @@
 
     def test_others_that_seem_unwell_go_first(self) -> None:
         state = self.state_of(self.spare)
-        state.fail(reached=False)
-        self.assertFalse(state.usable())
+        state.record_failure(reached=False)
+        self.assertFalse(state.is_usable())
         self.assertEqual({"t3"}, self.chosen())
 
     def test_after_a_shed_it_is_not_asked_again(self) -> None:
         state = self.state_of(self.resting[0])
-        state.succeed()
+        state.record_success()
         self.assertFalse(state.sheds_at_random())
 
     def test_it_counts_as_cooling_down(self) -> None:
@@ -142,8 +142,8 @@
     def test_a_cooldown_and_a_limit(self) -> None:
         """The target with a limit has a token sooner than the others end their cooldown."""
         reports = self.steered.targets.reports
-        reports.limits.note_answer(self.spare, 2.0, 0.0)
-        reports.limits.exhaust(self.spare, 0.5)
+        reports.limits.record_answer(self.spare, 2.0, 0.0)
+        reports.limits.mark_exhausted(self.spare, 0.5)
         refusal = self.refusal()
         self.assertEqual("cooldown", refusal.fields["reason"])
         self.assertAlmostEqual(0.5, refusal.retry_after)
@@ -166,7 +166,7 @@
             self.steered.set_targets(far, self.spare)
             state = self.state_of(far)
             self.say(far, _RESTS)
-        found = self.steered.steering.come_back_s(state, PEDIDOS, regions)
+        found = self.steered.steering.retry_after_s(state, PEDIDOS, regions)
         self.assertAlmostEqual(come_back_s, found)
 
 
--- a/tests/traffic/test_crashes.py
+++ b/tests/traffic/test_crashes.py
@@ -156,7 +156,7 @@
         for target in targets:
             crash = crash_digest(TargetId(target), None)
             cut_off = [(fingerprint(head, b""), caller_digest(""))]
-            path.quarantine.note_crash(crash, cut_off)
+            path.quarantine.record_crash(crash, cut_off)
 
     @parameterized.expand(
         [
@@ -197,7 +197,7 @@
                 head = head_digest("POST", "a.example", "/p/1?q=2", None, None)
                 cut_off = [(fingerprint(head, b"body"), caller_digest(""))]
                 for name in "abc":
-                    path.quarantine.note_crash(crash_digest(TargetId(name), None), cut_off)
+                    path.quarantine.record_crash(crash_digest(TargetId(name), None), cut_off)
                 reply = await path.forward(path.request("upload", body=body))
                 path.pool.close()
                 return reply.status
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -11,8 +11,8 @@
 from coralfall import defaults
 from coralfall.exceptions import RefusedError
 from coralfall.ids import EntryId, ServiceId, TargetId
-from coralfall.placement.budget import SendBudget
-from coralfall.placement.split import Split
+from coralfall.placement.retry_budget import SharedRetryBudget
+from coralfall.placement.weighted_split import WeightedSplit
 from coralfall.process.clock import ManualClock
 from coralfall.traffic.model import Backend, RouteId
 from coralfall.traffic.pace import pace_of
@@ -68,14 +68,14 @@
     def test_few_requests_keep_the_shares(self, _name: str, weights: t.Tuple[float, ...]) -> None:
         backends = [Backend(ServiceId(f"s{n}"), weight) for n, weight in enumerate(weights)]
         route = make_route(backends=tuple(backends))
-        split = Split(seeded_rng())
+        split = WeightedSplit(seeded_rng())
         counts = collections.Counter(split.choose(route) for _ in range(100))
         for backend in backends:
             share = backend.weight / sum(weights)
             self.assertAlmostEqual(share, counts[backend.service] / 100, delta=0.03)
 
     def test_a_changed_weight_is_in_force_at_once(self) -> None:
-        split = Split(seeded_rng())
+        split = WeightedSplit(seeded_rng())
         split.choose(make_route(backends=(Backend(ServiceId("a"), 1), Backend(ServiceId("b"), 1))))
         moved = make_route(backends=(Backend(ServiceId("a"), 0), Backend(ServiceId("b"), 1)))
         self.assertEqual({ServiceId("b")}, {split.choose(moved) for _ in range(20)})
@@ -92,24 +92,24 @@
         ]
     )
     def test_take(self, _name: str, entries: int, requests: int, expected: int) -> None:
-        budget = SendBudget(BoundSettings(), ManualClock())
-        budget.entries = entries
+        budget = SharedRetryBudget(BoundSettings(), ManualClock())
+        budget.entry_count = entries
         for _ in range(requests):
-            budget.request(PEDIDOS)
-        self.assertEqual(expected, sum(budget.take(PEDIDOS) for _ in range(200)))
+            budget.record_request(PEDIDOS)
+        self.assertEqual(expected, sum(budget.try_spend(PEDIDOS) for _ in range(200)))
 
     def test_all_entries_together_stay_within_the_bound_in_any_window(self) -> None:
         clock = ManualClock()
         bounds = BoundSettings()
-        budgets = [SendBudget(bounds, clock) for _ in range(12)]
+        budgets = [SharedRetryBudget(bounds, clock) for _ in range(12)]
         taken: t.List[float] = []
         for step in range(400):
             clock.advance(0.1)
             for number, budget in enumerate(budgets):
-                budget.entries = 12
+                budget.entry_count = 12
                 if (step + number) % 3 == 0:
-                    budget.request(PEDIDOS)
-                if budget.take(PEDIDOS):
+                    budget.record_request(PEDIDOS)
+                if budget.try_spend(PEDIDOS):
                     taken.append(clock.now)
         per_window = bounds.budget_window_s / 0.1 / 3 * 12
         bound = per_window * bounds.budget_ratio + bounds.budget_slack
@@ -118,19 +118,21 @@
             self.assertLessEqual(within, bound)
 
     def test_services_do_not_share(self) -> None:
-        budget = SendBudget(BoundSettings(budget_slack=2), ManualClock())
-        self.assertTrue(budget.take(PEDIDOS))
-        self.assertFalse(budget.take(PEDIDOS))
-        self.assertTrue(budget.take(ServiceId("catalogo")))
+        budget = SharedRetryBudget(BoundSettings(budget_slack=2), ManualClock())
+        self.assertTrue(budget.try_spend(PEDIDOS))
+        self.assertFalse(budget.try_spend(PEDIDOS))
+        self.assertTrue(budget.try_spend(ServiceId("catalogo")))
 
 
 class AffinityTest(unittest.TestCase):
     def choose(self, steered: SteeringFixture, key: str, **options: t.Any) -> TargetId:
         route = options.get("route", make_route())
-        place = steered.steering.choose(route, PEDIDOS, key.encode(), options.get("tried", ()))
+        reservation = steered.steering.choose(
+            route, PEDIDOS, key.encode(), options.get("tried", ())
+        )
         if not options.get("held", False):
-            place.release()
-        return place.state.target.target_id
+            reservation.release()
+        return reservation.state.target.target_id
 
     def test_entries_agree_without_talking(self) -> None:
         targets = [make_target(number) for number in range(20)]
@@ -176,9 +178,9 @@
         first = steered.targets.by_id[self.choose(steered, "x")]
         (second,) = [one for one in steered.targets.by_id.values() if one is not first]
         if known:
-            second.note_object(b"x")
-        second.report(taken, 0)
-        first.report(4, load - 4)
+            second.record_object(b"x")
+        second.record_load(taken, 0)
+        first.record_load(4, load - 4)
         chosen = steered.targets.by_id[self.choose(steered, "x")]
         self.assertIs({"first": first, "second": second}[expected], chosen)
 
@@ -194,27 +196,27 @@
     ) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
         shed = steered.targets.by_id[self.choose(steered, "x")]
-        shed.succeed()
+        shed.record_success()
         self.assertTrue(shed.sheds_at_random())
         (other,) = [one for one in steered.targets.by_id.values() if one is not shed]
         if known:
-            other.note_object(b"x")
+            other.record_object(b"x")
         tried = {shed.target.target_id}
         route = make_route(session_affinity=affinity)
-        place = steered.steering.choose(route, PEDIDOS, b"x", tried, again=shed)
-        self.assertIs(shed if same else other, place.state)
+        reservation = steered.steering.choose(route, PEDIDOS, b"x", tried, again=shed)
+        self.assertIs(shed if same else other, reservation.state)
 
     def test_callers_come_back_when_the_queue_is_gone(self) -> None:
         steered = SteeringFixture(make_target(1))
-        steered.steering.admission.note_duration(PEDIDOS, 0.4)
-        steered.targets.by_id[TargetId("t1")].report(4, 8)
+        steered.steering.admission.record_duration(PEDIDOS, 0.4)
+        steered.targets.by_id[TargetId("t1")].record_load(4, 8)
         with self.assertRaises(RefusedError) as caught:
             self.choose(steered, "x")
         self.assertAlmostEqual(0.9, caught.exception.retry_after)
 
     def test_late_callers_come_back_last(self) -> None:
         steered = SteeringFixture(make_target(1))
-        steered.targets.by_id[TargetId("t1")].report(4, 0)
+        steered.targets.by_id[TargetId("t1")].record_load(4, 0)
         with self.assertRaises(RefusedError) as caught:
             steered.steering.choose(make_route(), PEDIDOS, b"x", (), late=True)
         self.assertEqual(
@@ -223,13 +225,13 @@
 
     def test_a_target_that_learns_behind_a_queue_is_not_quiet(self) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
-        steered.steering.admission.note_duration(PEDIDOS, 0.12)
-        steered.steering.admission.note_duration(PEDIDOS, 0.5, known=False)
-        place = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
+        steered.steering.admission.record_duration(PEDIDOS, 0.12)
+        steered.steering.admission.record_duration(PEDIDOS, 0.5, known=False)
+        reservation = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
         steered.clock.advance(0.8)
-        self.assertFalse(place.state.is_quiet())
+        self.assertFalse(reservation.state.is_unresponsive())
         steered.clock.advance(0.3)
-        self.assertTrue(place.state.is_quiet())
+        self.assertTrue(reservation.state.is_unresponsive())
 
     def test_a_released_target_is_chosen_again(self) -> None:
         steered = SteeringFixture(make_target(1, slots=1))
@@ -243,7 +245,7 @@
     def test_a_target_s_own_word_counts_and_fades(self) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
         first = steered.targets.by_id[self.choose(steered, "x")]
-        first.report(running=4, waiting=4)
+        first.record_load(running=4, waiting=4)
         self.assertNotEqual(first.target.target_id, self.choose(steered, "x"))
         steered.clock.advance(5.0)
         self.assertEqual(first.target.target_id, self.choose(steered, "x"))
@@ -278,11 +280,11 @@
         steered = SteeringFixture(make_target(1), make_target(2, slots=1000))
         state = steered.targets.by_id[TargetId("t1")]
         for _ in range(failures):
-            self.assertTrue(state.usable())
-            state.fail(reached)
-        self.assertFalse(state.usable())
+            self.assertTrue(state.is_usable())
+            state.record_failure(reached)
+        self.assertFalse(state.is_usable())
         steered.clock.advance(defaults.EJECTION_S)
-        self.assertTrue(state.usable())
+        self.assertTrue(state.is_usable())
 
     @parameterized.expand(
         [
@@ -295,15 +297,15 @@
         self, _name: str, answered_s: t.Optional[float], waited_s: float, passed_over: bool
     ) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
-        steered.steering.admission.note_duration(PEDIDOS, 0.2)
-        place = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
-        home = place.state.target.target_id
+        steered.steering.admission.record_duration(PEDIDOS, 0.2)
+        reservation = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
+        home = reservation.state.target.target_id
         steered.clock.advance(answered_s or 0.0)
         if answered_s is not None:
-            place.state.succeed()
+            reservation.state.record_success()
         steered.clock.advance(waited_s - (answered_s or 0.0))
         self.assertEqual(passed_over, self.choose(steered, "x") != home)
-        place.release()
+        reservation.release()
 
     @parameterized.expand([("no sign of life", False, True), ("others answered", True, False)])
     def test_a_target_that_lets_a_request_s_time_pass(
@@ -314,9 +316,9 @@
         began = steered.clock.monotonic()
         steered.clock.advance(1.0)
         if answered:
-            state.succeed()
-        state.fail(reached=True, silent_since=began)
-        self.assertEqual(rests, not state.usable())
+            state.record_success()
+        state.record_failure(reached=True, silent_since=began)
+        self.assertEqual(rests, not state.is_usable())
 
     @parameterized.expand(
         [
@@ -333,8 +335,8 @@
         self, _name: str, left_s: float, load: int, late: bool, reason: t.Optional[str]
     ) -> None:
         steered = SteeringFixture(make_target(1, slots=4))
-        steered.steering.admission.note_duration(PEDIDOS, 0.2)
-        steered.targets.by_id[TargetId("t1")].report(load, 0)
+        steered.steering.admission.record_duration(PEDIDOS, 0.2)
+        steered.targets.by_id[TargetId("t1")].record_load(load, 0)
         got: t.Optional[str] = None
         try:
             steered.steering.choose(make_route(), PEDIDOS, b"x", (), left_s, late)
@@ -355,7 +357,7 @@
         steered = SteeringFixture(make_target(1))
         state = steered.targets.by_id[TargetId("t1")]
         for _ in range(failures):
-            state.fail(reached=False, refused=refused)
+            state.record_failure(reached=False, refused=refused)
         self.assertEqual(cold, state.is_cold())
         steered.clock.advance(make_settings().bounds.target_visibility_s())
         self.assertFalse(state.is_cold())
@@ -371,20 +373,20 @@
     def test_if_all_rest_they_are_tried_all_the_same(self) -> None:
         steered = SteeringFixture(make_target(1), make_target(2))
         for state in steered.targets.by_id.values():
-            state.fail(reached=False)
+            state.record_failure(reached=False)
         self.assertIn(self.choose(steered, "x"), ("t1", "t2"))
 
     def test_who_is_late(self) -> None:
         admission = SteeringFixture().steering.admission
         route = make_route(latency_target_s=0.3)
         for _ in range(20):
-            admission.note_arrival(route, 2.5)
+            admission.record_arrival(route, 2.5)
         late = [left for left in (2.5, 2.3, 2.1, 0.5) if admission.is_late(route, left)]
         self.assertEqual([2.1, 0.5], late)
 
     def test_a_replaced_target_is_never_chosen_again(self) -> None:
         steered = SteeringFixture(make_target(1), make_target(2, slots=1000))
-        steered.targets.drop(steered.targets.by_id[TargetId("t1")])
+        steered.targets.mark_replaced(steered.targets.by_id[TargetId("t1")])
         for key in range(20):
             self.assertEqual(TargetId("t2"), self.choose(steered, str(key)))
 
@@ -442,9 +444,9 @@
     def homes(self, steered: SteeringFixture, keys: int = 400) -> t.Dict[str, str]:
         found = {}
         for number in range(keys):
-            place = steered.steering.choose(make_route(), PEDIDOS, str(number).encode(), ())
-            place.release()
-            found[str(number)] = place.state.target.zone
+            reservation = steered.steering.choose(make_route(), PEDIDOS, str(number).encode(), ())
+            reservation.release()
+            found[str(number)] = reservation.state.target.zone
         return found
 
     @parameterized.expand(
@@ -471,8 +473,8 @@
         zones = []
         with self.assertRaises(RefusedError):
             while True:
-                place = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
-                zones.append(place.state.target.zone)
+                reservation = steered.steering.choose(make_route(), PEDIDOS, b"x", ())
+                zones.append(reservation.state.target.zone)
         self.assertEqual([NORTE, NORTE, PUERTO, PUERTO, NORTE, PUERTO], zones)
 
     def test_the_part_moves_slowly_when_room_does(self) -> None:
--- a/tests/traffic/test_departures.py
+++ b/tests/traffic/test_departures.py
@@ -22,7 +22,7 @@
 
 
 def say_leaving(steered: SteeringFixture, target: Target) -> None:
-    steered.targets.reports.note(steered.targets.by_id[target.target_id], _LEAVES, 0.0)
+    steered.targets.reports.record(steered.targets.by_id[target.target_id], _LEAVES, 0.0)
 
 
 class RowsTest(unittest.TestCase):
@@ -38,9 +38,9 @@
         """All targets that are chosen for some objects."""
         ids = set()
         for number in range(40):
-            place = self.steered.steering.choose(make_route(), PEDIDOS, b"%d" % number, ())
-            place.release()
-            ids.add(place.state.target.target_id)
+            reservation = self.steered.steering.choose(make_route(), PEDIDOS, b"%d" % number, ())
+            reservation.release()
+            ids.add(reservation.state.target.target_id)
         return ids
 
     @parameterized.expand(
@@ -80,9 +80,9 @@
 
     def test_after_a_shed_it_is_not_asked_again(self) -> None:
         shed = self.steered.targets.by_id[self.target.target_id]
-        shed.succeed()
-        place = self.steered.steering.choose(make_route(), PEDIDOS, b"x", ("t1",), again=shed)
-        self.assertEqual("t2", place.state.target.target_id)
+        shed.record_success()
+        reservation = self.steered.steering.choose(make_route(), PEDIDOS, b"x", ("t1",), again=shed)
+        self.assertEqual("t2", reservation.state.target.target_id)
 
 
 async def leaves(turn: Turn) -> None:
@@ -146,7 +146,7 @@
         self.clock = ManualClock(100.0)
         self.fleet = [EntryFixture(f"e{number}", self.clock) for number in range(3)]
         self.target = make_target(born=1000)
-        self.fleet[0].reports.departures.note(self.target)
+        self.fleet[0].reports.departures.record(self.target)
 
     def ask(self, asker: int, asked: int) -> None:
         """One exchange of news, over the wire."""
@@ -163,7 +163,7 @@
         return [one.reports.departures.includes(self.target) for one in self.fleet]
 
     def sums(self) -> t.Set[int]:
-        return {one.reports.departures.sum() for one in self.fleet}
+        return {one.reports.departures.checksum() for one in self.fleet}
 
     def test_others_hear_who_leaves(self) -> None:
         self.ask(1, 0)
@@ -176,7 +176,7 @@
         self.tick(self.target)
         self.clock.advance(2.0)
         self.tick(self.target)
-        self.assertEqual((), self.fleet[0].reports.departures.recent())
+        self.assertEqual((), self.fleet[0].reports.departures.recent_updates())
         self.ask(1, 0)
         self.assertEqual([True, True, False], self.known())
 
--- a/tests/traffic/test_forwarder.py
+++ b/tests/traffic/test_forwarder.py
@@ -12,9 +12,9 @@
 from coralfall.forwarding.request import MemoryAccount, RequestBody
 from coralfall.ids import Outcome, TargetId
 from coralfall.placement.affinity import AffinitySteering
-from coralfall.placement.budget import SendBudget
 from coralfall.placement.quarantine import Quarantine
-from coralfall.placement.targets import TargetBook
+from coralfall.placement.retry_budget import SharedRetryBudget
+from coralfall.placement.targets import TargetRegistry
 from coralfall.platform.names import HEADERS
 from coralfall.process.clock import Clock, SystemClock
 from coralfall.traffic import pool
@@ -54,13 +54,13 @@
     ) -> None:
         clock = clock or SystemClock()
         self.clock = clock
-        self.targets = TargetBook(clock)
+        self.targets = TargetRegistry(clock)
         self.steering = AffinitySteering(make_settings(), self.targets, clock)
         self.steering.set_state(make_state())
         listed = [make_target(number, address=address) for number, address in enumerate(addresses)]
         self.targets.update({target.target_id: target for target in listed})
         self.pool = ConnectionPool(clock)
-        budget = SendBudget(bounds or BoundSettings(), clock)
+        budget = SharedRetryBudget(bounds or BoundSettings(), clock)
         self.crashes = CrashWatch(self.targets, self.pool, clock)
         self.quarantine = Quarantine(defaults.QUARANTINE_S, clock)
         self.permits = make_permits(clock)
@@ -113,9 +113,9 @@
     def _key_for(self, target_id: TargetId) -> bytes:
         for number in range(1000):
             key = str(number).encode()
-            place = self.steering.choose(make_route(), PEDIDOS, key, ())
-            place.release()
-            if place.state.target.target_id == target_id:
+            reservation = self.steering.choose(make_route(), PEDIDOS, key, ())
+            reservation.release()
+            if reservation.state.target.target_id == target_id:
                 return key
         raise AssertionError("no key has that home")
 
@@ -324,7 +324,7 @@
             path = Path(["127.0.0.1:1"])
             with mock.patch.object(pool, "connect", side_effect=OSError(number, "no")):
                 reply = await path.forward(path.request("unsafe"))
-            return reply, path.targets.by_id[TargetId("t0")].usable()
+            return reply, path.targets.by_id[TargetId("t0")].is_usable()
 
         reply, found = asyncio.run(main())
         self.assertEqual(
@@ -379,7 +379,7 @@
                 for number in range(6):
                     await path.forward(path.request("safe", number, seconds=seconds))
                 state = path.targets.by_id[TargetId("t0")]
-                return state.durations.typical(path.clock.monotonic())
+                return state.latencies.median_s(path.clock.monotonic())
 
         typical = asyncio.run(main())
         assert typical is not None
@@ -512,7 +512,7 @@
                 last = path.request("safe", 3, first="t0")
                 reply = await path.forward(last)
                 results = [send.result for send in last.sends]
-                usable = path.targets.by_id[TargetId("t0")].usable()
+                usable = path.targets.by_id[TargetId("t0")].is_usable()
                 path.pool.close()
                 return reply.status, results, target.connections - before, usable
 
@@ -580,7 +580,7 @@
                 await asyncio.wait({task})
                 await asyncio.wait_for(target.left.wait(), 5)
                 state = path.targets.by_id[TargetId("t0")]
-                self.assertEqual(0, state.in_hand)
+                self.assertEqual(0, state.in_flight)
 
         asyncio.run(main())
 
@@ -664,7 +664,7 @@
             # No second send is within this budget: none must be counted.
             path = Path([one.address for one in targets], BoundSettings(budget_slack=0))
             first = path.targets.by_id[TargetId("t0")]
-            path.limits.note_answer(first.target, 0.2, 0.0)
+            path.limits.record_answer(first.target, 0.2, 0.0)
             requests = [path.request(kind, number, first="t0") for number in range(4)]
             replies = [await path.forward(request) for request in requests]
             path.pool.close()
@@ -686,11 +686,11 @@
         async def main() -> t.Tuple[t.List[str], bool]:
             path = Path(["127.0.0.1:1"])
             state = path.targets.by_id[TargetId("t0")]
-            path.limits.note_answer(state.target, 0.2, 0.0)
+            path.limits.record_answer(state.target, 0.2, 0.0)
             request = path.request("unsafe")
             await path.forward(request)
             path.pool.close()
-            return [send.result for send in request.sends], state.knows(request.key)
+            return [send.result for send in request.sends], state.has_cached(request.key)
 
         self.assertEqual((["limited"], False), asyncio.run(main()))
 
@@ -698,7 +698,7 @@
         async def main() -> t.Tuple[int, int]:
             path = Path(["127.0.0.1:1"])
             state = path.targets.by_id[TargetId("t0")]
-            path.limits.note_answer(state.target, 50.0, 0.0)
+            path.limits.record_answer(state.target, 50.0, 0.0)
             acquired = unconnected = 0
             give_back = mock.Mock(wraps=path.permits.give_back)
             async with asyncio.timeout(_PATIENCE_S):
@@ -724,7 +724,7 @@
 
                 async def take(*arguments: t.Any) -> t.Any:
                     connection = await opened(*arguments)
-                    path.limits.note_answer(state.target, 0.2, path.clock.monotonic())
+                    path.limits.record_answer(state.target, 0.2, path.clock.monotonic())
                     return connection
 
                 with mock.patch.object(path.pool, "take", take):
--- a/tests/traffic/test_leases.py
+++ b/tests/traffic/test_leases.py
@@ -9,7 +9,7 @@
 from coralfall.exceptions import PeerError, PeerTimeoutError, PeerUnreachableError
 from coralfall.ids import EntryId, Incarnation
 from coralfall.peering.messages import Hello
-from coralfall.placement.ledger import Ledger, Limit, LimitKey, LimitKind, slot_of
+from coralfall.placement.buckets import Limit, LimitKey, LimitKind, TokenBuckets, slot_of
 from coralfall.process.clock import ManualClock
 from coralfall.traffic.leases import Leases
 from coralfall.traffic.messages import PermitReply, PermitRequest
@@ -53,7 +53,7 @@
     ) -> None:
         clock = ManualClock(0.0)
         members = t.cast(t.Any, FakeMembers(make_record(OWN)))
-        leases = Leases(members, Ledger(clock), clock)
+        leases = Leases(members, TokenBuckets(clock), clock)
         for kind, seconds, owner_id in steps:
             if kind == "lease":
                 leases.lease([SLOT], owner_id, seconds)
@@ -129,7 +129,9 @@
             owner = make_record(FIRST, link_mbps=9.0)
             members.merge_records([members.own_record, owner], 2)
             lines = Lines(clock)
-            permits = Permits(t.cast(t.Any, members), t.cast(t.Any, lines), Ledger(clock), clock)
+            permits = Permits(
+                t.cast(t.Any, members), t.cast(t.Any, lines), TokenBuckets(clock), clock
+            )
             permits.sources.append(OneLimit())
             # It must not matter which of the two this entry leases to.
             permits.owners.of = lambda slot: [FIRST]  # type: ignore[method-assign]
--- a/tests/traffic/test_lines.py
+++ b/tests/traffic/test_lines.py
@@ -59,7 +59,7 @@
         steered = SteeringFixture(make_target())
         state = next(iter(steered.targets.by_id.values()))
         for _ in range(300):
-            steered.targets.reports.note(state, TargetReport(cooldown_s=3.0, leaving=True), 0.0)
+            steered.targets.reports.record(state, TargetReport(cooldown_s=3.0, leaving=True), 0.0)
             steered.clock.advance(0.01)
         self.assertLessEqual(len(self.lines("target.cooldown")), 4)
         self.assertEqual(1, len(self.lines("target.leaving")))
--- a/tests/traffic/test_quarantine.py
+++ b/tests/traffic/test_quarantine.py
@@ -35,7 +35,7 @@
 def crash(quarantine: Quarantine, target: str, *requests: str, caller: CallerDigest = ANA) -> None:
     """Let a target end with these requests in hand."""
     listed = [(named(request), caller) for request in requests]
-    quarantine.note_crash(crash_digest(TargetId(target), 1), listed)
+    quarantine.record_crash(crash_digest(TargetId(target), 1), listed)
 
 
 def refused(quarantine: Quarantine, *requests: str, caller: CallerDigest = ANA) -> t.Set[str]:
@@ -75,7 +75,7 @@
         quarantine = Quarantine(600.0, ManualClock(100.0))
         for number in range(9):
             crash(quarantine, f"t{number}", "x")
-            quarantine.note_answer(named("x"))
+            quarantine.record_answer(named("x"))
         self.assertEqual(set(), refused(quarantine, "x"))
         for number in range(10, 13):
             crash(quarantine, f"t{number}", "x")
@@ -105,9 +105,9 @@
             crash(quarantine, f"t{number}", "x")
         for _ in range(times):
             clock.advance(pause_s)
-            quarantine.forget()
+            quarantine.expire()
             self.assertEqual({"x"} if still else set(), refused(quarantine, "x"))
-        self.assertEqual(not still, quarantine.empty)
+        self.assertEqual(not still, quarantine.is_empty)
 
     def test_slow_ones_are_found_too(self) -> None:
         clock = ManualClock(100.0)
@@ -115,41 +115,41 @@
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
             clock.advance(400.0)
-            quarantine.forget()
+            quarantine.expire()
         self.assertEqual({"x"}, refused(quarantine, "x"))
 
     def test_an_operator_lets_all_go(self) -> None:
         quarantine = Quarantine(600.0, ManualClock(100.0))
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
-        quarantine.set_hold(0.0)
+        quarantine.set_retention(0.0)
         crash(quarantine, "t4", "x")
-        quarantine.set_hold(600.0)
+        quarantine.set_retention(600.0)
         self.assertEqual(set(), refused(quarantine, "x"))
-        self.assertTrue(quarantine.empty)
+        self.assertTrue(quarantine.is_empty)
 
     def test_a_trial_ends_it_if_a_target_answers(self) -> None:
         """Targets may have ended of a storm that is over; nobody has to let the request go."""
         clock = ManualClock(100.0)
         quarantine = Quarantine(600.0, clock)
-        quarantine.tries = lambda fingerprint: first
+        quarantine.runs_trial = lambda fingerprint: first
         told: t.List[bool] = []
-        quarantine.on_news = told.append
+        quarantine.on_update = told.append
         first = True
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
-        self.assertFalse(quarantine.may_try(named("x")))
+        self.assertFalse(quarantine.start_trial(named("x")))
         clock.advance(defaults.QUARANTINE_TRY_S)
         first = False
-        self.assertFalse(quarantine.may_try(named("x")))
+        self.assertFalse(quarantine.start_trial(named("x")))
         first = True
         del told[:]
-        self.assertTrue(quarantine.may_try(named("x")))
+        self.assertTrue(quarantine.start_trial(named("x")))
         self.assertEqual([True], told)
         # Once and no more, and others are refused meanwhile.
-        self.assertFalse(quarantine.may_try(named("x")))
+        self.assertFalse(quarantine.start_trial(named("x")))
         self.assertEqual({"x"}, refused(quarantine, "x"))
-        quarantine.note_answer(named("x"))
+        quarantine.record_answer(named("x"))
         self.assertEqual(set(), refused(quarantine, "x"))
 
     def test_what_a_mass_failure_takes_along_is_bounded(self) -> None:
@@ -157,14 +157,14 @@
         for number in range(3):
             crash(quarantine, f"t{number}", "x")
         for number in range(defaults.MAX_SUSPECT_REQUESTS + 300):
-            quarantine.note_crash(
+            quarantine.record_crash(
                 crash_digest(TargetId(f"m{number}"), 1),
                 [(Fingerprint(HeadDigest(number + 10_000), 1), ANA)],
             )
-        quarantine.forget()
+        quarantine.expire()
         self.assertEqual({"x"}, refused(quarantine, "x"))
-        self.assertLessEqual(len(quarantine.recent()), defaults.MAX_GOSSIP_SUSPECT_REQUESTS)
-        self.assertEqual(1, len(quarantine.all()))
+        self.assertLessEqual(len(quarantine.recent_updates()), defaults.MAX_GOSSIP_SUSPECT_REQUESTS)
+        self.assertEqual(1, len(quarantine.snapshot()))
 
 
 class AgreementTest(unittest.TestCase):
@@ -226,7 +226,7 @@
         self.assertEqual([True], self.know(self.fleet[1]))
         self.clock.advance(300.0)
         for known in self.fleet:
-            known.quarantine.forget()
+            known.quarantine.expire()
         self.assertEqual([False, True, False, False], self.know(*self.fleet))
         self.ask(self.fleet[2], self.fleet[1])
         self.assertEqual([True], self.know(self.fleet[2]))
@@ -236,9 +236,9 @@
         for known in self.fleet * 2:
             self.ask(known, self.fleet[3])
         self.clock.advance(defaults.QUARANTINE_TRY_S)
-        self.assertTrue(self.fleet[0].quarantine.may_try(named("x")))
+        self.assertTrue(self.fleet[0].quarantine.start_trial(named("x")))
         self.ask(self.fleet[1], self.fleet[0])
-        self.assertFalse(self.fleet[1].quarantine.may_try(named("x")))
+        self.assertFalse(self.fleet[1].quarantine.start_trial(named("x")))
 
     def test_entries_of_the_version_before_are_understood_and_understand(self) -> None:
         self.end_three()
@@ -266,7 +266,7 @@
         self.end_three()
         for known in self.fleet * 2:
             self.ask(known, self.fleet[3])
-        self.assertEqual(1, len({known.quarantine.sum() for known in self.fleet}))
+        self.assertEqual(1, len({known.quarantine.checksum() for known in self.fleet}))
         self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S + 1)
         answer = self.fleet[0].exchange.answer(self.fleet[1].exchange.news())
         self.assertEqual((), answer.suspects)
@@ -275,7 +275,7 @@
         crash(self.fleet[0].quarantine, "t0", "x")
         crash(self.fleet[0].quarantine, "t1", "x")
         self.ask(self.fleet[1], self.fleet[0])
-        self.fleet[1].quarantine.note_answer(named("x"))
+        self.fleet[1].quarantine.record_answer(named("x"))
         self.ask(self.fleet[0], self.fleet[1])
         crash(self.fleet[0].quarantine, "t2", "x")
         self.assertEqual([False], self.know(self.fleet[0]))
@@ -283,7 +283,7 @@
     def test_what_is_seen_again_is_told_at_once(self) -> None:
         told: t.List[bool] = []
         quarantine = self.fleet[0].quarantine
-        quarantine.on_news = told.append
+        quarantine.on_update = told.append
         crash(quarantine, "t0", "x", "a")
         crash(quarantine, "t1", "b")
         crash(quarantine, "t2", "x", "c")
--- a/tests/traffic/test_quarantine_fleet.py
+++ b/tests/traffic/test_quarantine_fleet.py
@@ -82,7 +82,7 @@
             beside = Fingerprint(HeadDigest(100 + number), 2)
             in_hand = [(DEADLY, CALLER), (beside, CALLER)]
             crash = crash_digest(TargetId(f"t{number}"), 1)
-            known.quarantine.note_crash(crash, in_hand)
+            known.quarantine.record_crash(crash, in_hand)
 
     async def play(self, seconds: float) -> None:
         until = self.clock.monotonic() + seconds
--- a/tests/traffic/test_quota_ledger.py
+++ b/tests/traffic/test_quota_ledger.py
@@ -8,8 +8,16 @@
 from coralfall.exceptions import OverLimitError
 from coralfall.ids import EntryId, Incarnation, TenantId
 from coralfall.peering.messages import Hello
-from coralfall.placement.ledger import SLOTS, Ledger, Limit, Slot, SlotGroup, grouped, slot_of
-from coralfall.placement.quota import key_of, limit_of
+from coralfall.placement.buckets import (
+    SLOT_COUNT,
+    Limit,
+    Slot,
+    SlotGroup,
+    TokenBuckets,
+    group_by_region,
+    slot_of,
+)
+from coralfall.placement.tenant_limits import limit_of, tenant_limit_key
 from coralfall.process.clock import ManualClock
 from coralfall.traffic.messages import PermitRequest, TokenRequest
 from coralfall.traffic.permits import Permits
@@ -24,8 +32,8 @@
     most_of,
 )
 
-ACME = key_of(TenantId("acme"))
-ALL = [Slot(number) for number in range(SLOTS)]
+ACME = tenant_limit_key(TenantId("acme"))
+ALL = [Slot(number) for number in range(SLOT_COUNT)]
 LIMIT = Limit(rate_per_s=10.0, burst=20.0)
 
 
@@ -34,11 +42,11 @@
 
     def __init__(self) -> None:
         self.clock = ManualClock(100.0)
-        self.ledger = Ledger(self.clock)
+        self.ledger = TokenBuckets(self.clock)
 
     def lend(self, lenders: int, seconds: float = 1000.0, of: int = 10) -> None:
         for number in range(lenders):
-            self.ledger.lend(EntryId(f"e{number}"), ALL, 1 / of, seconds)
+            self.ledger.add_lease(EntryId(f"e{number}"), ALL, 1 / of, seconds)
 
     def wait(self, seconds: float) -> None:
         """Let time pass, as the entry's rounds see it."""
@@ -153,7 +161,7 @@
         if asked:
             self.assertEqual(1, owner.take(1))
         for number in range(2, 10):
-            owner.ledger.end(EntryId(f"e{number}"))
+            owner.ledger.end_leases(EntryId(f"e{number}"))
         owner.lend(10)
         # Two of ten shares hold 20 x 0.2 tokens.
         self.assertEqual(expected, owner.take())
@@ -162,7 +170,7 @@
         owner = Owner()
         owner.lend(10)
         owner.wait(60.0)
-        owner.ledger.end(EntryId("e0"))
+        owner.ledger.end_leases(EntryId("e0"))
         owner.lend(10)
         self.assertEqual(18, owner.take())
 
@@ -171,9 +179,9 @@
         owner.lend(10)
         owner.wait(60.0)
         self.assertEqual(20, owner.take())
-        owner.ledger.give_back(ACME, 5)
+        owner.ledger.return_tokens(ACME, 5)
         self.assertEqual(5, owner.take())
-        owner.ledger.give_back(ACME, 500)
+        owner.ledger.return_tokens(ACME, 500)
         self.assertEqual(20, owner.take())
 
     def test_a_lower_limit_binds_at_once(self) -> None:
@@ -196,7 +204,7 @@
         owner.lend(10)
         owner.wait(60.0)
         for number in range(100):
-            owner.ledger.take(key_of(TenantId(f"t{number}")), LIMIT, 1)
+            owner.ledger.take(tenant_limit_key(TenantId(f"t{number}")), LIMIT, 1)
         shares = owner.ledger._shares.values()
         self.assertEqual(100, sum([len(one.buckets) for one in shares]))
         owner.wait(12.0)
@@ -209,14 +217,14 @@
     def grant(self, **changes: t.Any) -> t.Tuple[int, bool]:
         clock = ManualClock(100.0)
         own = make_record("e1", incarnation=Incarnation(7), **changes.pop("own", {}))
-        ledger = Ledger(clock)
+        ledger = TokenBuckets(clock)
         permits = Permits(t.cast(t.Any, FakeMembers(own)), t.cast(t.Any, None), ledger, clock)
         state_view = FakeStateView(make_tenant(rate_per_s=10.0, burst=20.0))
         permits.sources.append(Quotas(permits, t.cast(t.Any, state_view), BOUNDS, clock))
         peer = Hello(entry_id=EntryId("e2"), incarnation=Incarnation(1))
         lending: t.Dict[str, t.Any] = {
             "wants": (),
-            "slots": grouped([slot_of(ACME)]),
+            "slots": group_by_region([slot_of(ACME)]),
             "share": 1.0,
             "seconds": 1000.0,
             "answered_s": 100.0,
@@ -237,7 +245,7 @@
             ("never answered", {"incarnation": None}, (0, False)),
             ("so old that it is over", {"answered_s": -900.0}, (0, False)),
             ("from what is still to come", {"answered_s": 101.0}, (0, False)),
-            ("of a slot that is none", {"slots": (SlotGroup(None, (SLOTS, -1)),)}, (0, False)),
+            ("of a slot that is none", {"slots": (SlotGroup(None, (SLOT_COUNT, -1)),)}, (0, False)),
         ]
     )
     def test_what_is_lent(self, _name: str, changes: t.Any, expected: t.Tuple[int, bool]) -> None:
--- a/tests/traffic/test_quotas.py
+++ b/tests/traffic/test_quotas.py
@@ -6,8 +6,8 @@
 
 from parameterized import parameterized
 
-from coralfall.placement.ledger import slot_of
-from coralfall.placement.quota import key_of
+from coralfall.placement.buckets import slot_of
+from coralfall.placement.tenant_limits import tenant_limit_key
 from coralfall.traffic.settings import BoundSettings
 from tests.traffic.makers import make_tenant
 from tests.traffic.quota_fleet import BOUNDS, STRICT_BOUNDS, QuotaEntry, QuotaFleet
@@ -178,7 +178,7 @@
 
 def owner_of(fleet: QuotaFleet) -> QuotaEntry:
     """An entry that most entries think counts for the tenant."""
-    slot = slot_of(key_of(fleet.tenant.tenant_id))
+    slot = slot_of(tenant_limit_key(fleet.tenant.tenant_id))
     seen: t.List[t.Any] = []
     for entry in fleet.entries:
         if entry.running:
--- a/tests/traffic/test_replicated_state.py
+++ b/tests/traffic/test_replicated_state.py
@@ -242,8 +242,8 @@
         known = EntryFixture()
         known.learn_targets(1, make_target(1, born=100), make_target(2))
         before = known.steered.targets.by_id[TargetId("t1")]
-        before.report(4, 9)
-        before.fail(reached=False)
+        before.record_load(4, 9)
+        before.record_failure(reached=False)
         born_by_revision = {3: 100, 4: 200}
         for revision in order:
             target = make_target(1, born=born_by_revision[revision], cold_s=3.0)
@@ -252,7 +252,7 @@
             known.state_view.apply_target_changes(rows.apply_changes([row], Revision(4), 1.0))
         state = known.steered.targets.by_id[TargetId("t1")]
         self.assertEqual(200, state.target.born)
-        self.assertEqual((0.0, True, True), (state.load(), state.usable(), state.is_cold()))
+        self.assertEqual((0.0, True, True), (state.load(), state.is_usable(), state.is_cold()))
         self.assertFalse(known.steered.targets.may_use(before))
 
 
--- a/tests/traffic/test_report_histories.py
+++ b/tests/traffic/test_report_histories.py
@@ -7,7 +7,7 @@
 
 from coralfall.exceptions import RefusedError
 from coralfall.ids import TargetId
-from coralfall.placement.affinity import Place
+from coralfall.placement.affinity import TargetReservation
 from coralfall.placement.target_reports import TargetReport
 from coralfall.placement.targets import TargetState
 from coralfall.traffic.model import Target
@@ -41,9 +41,9 @@
         self.left: t.Set[_Lifetime] = set()
         self.cool_until: t.Dict[_Lifetime, float] = {}
         #: Requests that have a place and wait for a connection or a token.
-        self.waiting: t.List[Place] = []
+        self.waiting: t.List[TargetReservation] = []
         #: Requests that were sent and not answered yet.
-        self.sent: t.List[Place] = []
+        self.sent: t.List[TargetReservation] = []
         #: What was seen, to show that histories are not empty.
         self.counts: t.Counter[str] = collections.Counter()
         for number in range(2):
@@ -103,7 +103,7 @@
         """A target seems unwell, so that fallbacks count."""
         state = self.steered.targets.by_id.get(TargetId(f"t{self._number()}"))
         if state is not None:
-            state.fail(reached=False)
+            state.record_failure(reached=False)
 
     def ask(self) -> None:
         """Requests come, or go on after a target turned them away."""
@@ -114,37 +114,39 @@
         key = b"%d" % self.rng.randrange(5)
         for _ in range(self.rng.randint(1, 4)):
             try:
-                place = self.steered.steering.choose(make_route(), PEDIDOS, key, tried, again=shed)
+                reservation = self.steered.steering.choose(
+                    make_route(), PEDIDOS, key, tried, again=shed
+                )
             except RefusedError as refusal:
                 self._check_refusal(refusal)
                 return
-            self.waiting.append(place)
+            self.waiting.append(reservation)
 
     def send(self) -> None:
         """Requests that waited are sent, unless the last check objects."""
         for _ in range(min(self.rng.randint(1, 4), len(self.waiting))):
-            place = self.waiting.pop(0)
-            expected = self._restriction(place.state)
-            if self.steered.targets.objection(place.state) is not None:
+            reservation = self.waiting.pop(0)
+            expected = self._restriction(reservation.state)
+            if self.steered.targets.block_reason(reservation.state) is not None:
                 self.counts[f"held back, {expected}"] += 1
-                place.withdraw()
+                reservation.cancel()
                 continue
-            assert expected is None, f"sent to {place.state.target}, which {expected}"
+            assert expected is None, f"sent to {reservation.state.target}, which {expected}"
             self.counts["sent"] += 1
-            self.sent.append(place)
+            self.sent.append(reservation)
 
     def answer(self) -> None:
         """A target answers, and may say something of itself."""
         if not self.sent:
             return
-        place = self.sent.pop(self.rng.randrange(len(self.sent)))
+        reservation = self.sent.pop(self.rng.randrange(len(self.sent)))
         leaving = self.rng.random() < 0.1
         cooldown_s = self.rng.choice(_COOLDOWNS_S) if self.rng.random() < 0.4 else None
         report = TargetReport(leaving=leaving, cooldown_s=cooldown_s)
-        self.steered.targets.reports.note(place.state, report, self.now)
-        place.state.succeed()
-        place.release()
-        named = _lifetime(place.state.target)
+        self.steered.targets.reports.record(reservation.state, report, self.now)
+        reservation.state.record_success()
+        reservation.release()
+        named = _lifetime(reservation.state.target)
         if leaving:
             self.left.add(named)
         if cooldown_s is not None:
@@ -155,12 +157,12 @@
         """A target that is there and asked for nothing is used, whatever others asked for."""
         for state in self.steered.targets.by_id.values():
             free = self._restriction(state) is None and not state.target.leaving
-            well = state.usable() and not state.is_cold() and not state.is_quiet()
+            well = state.is_usable() and not state.is_cold() and not state.is_unresponsive()
             if not free or not well or not state.has_room():
                 continue
-            place = self.steered.steering.choose(make_route(), PEDIDOS, b"probe", ())
-            place.withdraw()
-            assert self._restriction(place.state) is None, f"chose {place.state.target}"
+            reservation = self.steered.steering.choose(make_route(), PEDIDOS, b"probe", ())
+            reservation.cancel()
+            assert self._restriction(reservation.state) is None, f"chose {reservation.state.target}"
             return
 
     def _number(self) -> int:
--- a/tests/traffic/test_speed.py
+++ b/tests/traffic/test_speed.py
@@ -48,10 +48,10 @@
     def ask(self, route: Route, key: str, left_s: float = 10.0) -> TargetId:
         """The target that a request is sent to; how long it takes is noted."""
         steered = self.steered
-        place = steered.steering.choose(route, PEDIDOS, key.encode(), ())
-        target_id = place.state.target.target_id
-        place.note(steered.clock.monotonic(), min(left_s, self.seconds[target_id]))
-        place.release()
+        reservation = steered.steering.choose(route, PEDIDOS, key.encode(), ())
+        target_id = reservation.state.target.target_id
+        reservation.record_latency(steered.clock.monotonic(), min(left_s, self.seconds[target_id]))
+        reservation.release()
         return target_id
 
     def round(self, route: t.Optional[Route] = None) -> t.Dict[str, TargetId]:
@@ -142,7 +142,7 @@
         state = timed.steered.targets.by_id[TargetId("t1")]
         first = timed.round()
         for _ in range(8):
-            state.report(running=1000, waiting=200)
+            state.record_load(running=1000, waiting=200)
             last = timed.round()
         self.assertEqual(count_of(first, 1), count_of(last, 1))
 
--- a/tests/traffic/test_target_fleet.py
+++ b/tests/traffic/test_target_fleet.py
@@ -6,8 +6,8 @@
 
 from parameterized import parameterized
 
-from coralfall.placement.ledger import slot_of
-from coralfall.placement.target_limits import key_of
+from coralfall.placement.buckets import slot_of
+from coralfall.placement.target_limits import target_limit_key
 from tests.traffic.limit_fleet import (
     STABLE_S,
     TARGET,
@@ -133,7 +133,7 @@
 
 def owner_of(fleet: LimitFleet) -> QuotaEntry:
     """The entry that most entries think grants tokens for the target."""
-    slot = slot_of(key_of(TARGET.target_id, REGIONS[0]))
+    slot = slot_of(target_limit_key(TARGET.target_id, REGIONS[0]))
     seen = [entry.permits.owners.of(slot)[0] for entry in fleet.entries if entry.running]
     owner_id = max(seen, key=seen.count)
     return next(entry for entry in fleet.entries if entry.entry_id == owner_id)
--- a/tests/traffic/test_target_limits.py
+++ b/tests/traffic/test_target_limits.py
@@ -7,8 +7,8 @@
 from parameterized import parameterized
 
 from coralfall import defaults
-from coralfall.placement.target_limits import TargetLimits, bucket_for
-from coralfall.placement.targets import TargetBook
+from coralfall.placement.target_limits import TargetLimits, token_bucket_for
+from coralfall.placement.targets import TargetRegistry
 from coralfall.process.clock import ManualClock
 from coralfall.traffic.messages import GossipMessage
 from coralfall.traffic.wire import parse_limit
@@ -44,20 +44,20 @@
         target = make_target()
         for at, sent_at, rate_per_s in answers:
             clock.now = at
-            limits.note_answer(target, rate_per_s, sent_at)
+            limits.record_answer(target, rate_per_s, sent_at)
         self.assertEqual(expected, limits.rate_of(target))
         self.assertEqual(int(expected is not None), len(limits.in_force()))
 
     def test_another_lifetime_under_the_same_id_has_no_limit(self) -> None:
         limits = TargetLimits(ManualClock(0.0))
-        limits.note_answer(make_target(born=1000), 3.6, 0.0)
+        limits.record_answer(make_target(born=1000), 3.6, 0.0)
         self.assertIsNone(limits.rate_of(make_target(born=2000)))
 
 
 class BucketTest(unittest.TestCase):
     @parameterized.expand([(0.0,), (0.05,), (0.4,), (1.9,), (3.6,), (40.0,), (1000.0,)])
     def test_a_window_holds_less_than_the_users_allow(self, rate_per_s: float) -> None:
-        bucket = bucket_for(rate_per_s)
+        bucket = token_bucket_for(rate_per_s)
         filled = bucket.rate_per_s * WINDOW_S + bucket.burst
         self.assertLessEqual(filled, most_of(rate_per_s))
         self.assertGreaterEqual(bucket.rate_per_s, rate_per_s)
@@ -77,7 +77,7 @@
     def name(self, number: int, rate_per_s: t.Optional[float]) -> None:
         """An entry gets an answer to what it sent right now."""
         limits = self.fleet[number].limits
-        limits.note_answer(self.target, rate_per_s, self.clock.monotonic())
+        limits.record_answer(self.target, rate_per_s, self.clock.monotonic())
 
     def ask(self, asker: int, asked: int) -> None:
         """One exchange of news."""
@@ -88,7 +88,7 @@
         return self.fleet[number].limits.rate_of(self.target)
 
     def tick(self) -> None:
-        states = TargetBook(self.clock)
+        states = TargetRegistry(self.clock)
         states.update({self.target.target_id: self.target})
         for one in self.fleet:
             one.limits.tick(states.by_id)
@@ -101,10 +101,10 @@
     def test_one_that_missed_the_news_hears_of_all_limits(self) -> None:
         self.clock.advance(defaults.GOSSIP_UPDATE_TTL_S + 1.0)
         self.tick()
-        self.assertEqual((), self.fleet[0].limits.recent())
+        self.assertEqual((), self.fleet[0].limits.recent_updates())
         self.ask(1, 0)
         self.assertEqual(3.6, self.known(1))
-        self.assertEqual(self.fleet[0].limits.sum(), self.fleet[1].limits.sum())
+        self.assertEqual(self.fleet[0].limits.checksum(), self.fleet[1].limits.checksum())
 
     @parameterized.expand(
         [
@@ -126,15 +126,17 @@
         for asker, asked in ((0, 1), (1, 0), (2, 1), (0, 2)):
             self.ask(asker, asked)
         self.assertEqual([expected] * 3, [self.known(number) for number in range(3)])
-        self.assertEqual(1, len({one.limits.sum() for one in self.fleet}))
+        self.assertEqual(1, len({one.limits.checksum() for one in self.fleet}))
 
     def test_a_limit_whose_target_is_known_no_more_is_forgotten(self) -> None:
         self.clock.advance(10.0)
         self.fleet[0].limits.tick({})
-        self.assertEqual((0, 0), (len(self.fleet[0].limits.in_force()), self.fleet[0].limits.sum()))
+        self.assertEqual(
+            (0, 0), (len(self.fleet[0].limits.in_force()), self.fleet[0].limits.checksum())
+        )
         self.clock.advance(60.0)
         self.fleet[0].limits.tick({})
-        self.assertEqual((), self.fleet[0].limits.all())
+        self.assertEqual((), self.fleet[0].limits.snapshot())
 
     def test_entries_of_the_version_before_are_understood_and_understand(self) -> None:
         whole = msgspec.msgpack.decode(msgspec.msgpack.encode(self.fleet[0].exchange.news()))
--- a/tests/traffic/test_target_reports.py
+++ b/tests/traffic/test_target_reports.py
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from coralfall.placement.target_reports import TargetReport, TargetReports
-from coralfall.placement.targets import TargetBook
+from coralfall.placement.targets import TargetRegistry
 from coralfall.platform.names import HEADERS
 from coralfall.process.clock import ManualClock
 from coralfall.traffic.answer_report import AnswerReader
@@ -107,7 +107,7 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
-        self.book = TargetBook(self.clock)
+        self.book = TargetRegistry(self.clock)
         self.target = make_target(born=1000)
         self.put(self.target)
 
@@ -122,7 +122,7 @@
     def say(self, **report: t.Any) -> None:
         """The target answers a request that was sent right now."""
         state = self.book.by_id[self.target.target_id]
-        self.reports.note(state, TargetReport(**report), self.clock.monotonic())
+        self.reports.record(state, TargetReport(**report), self.clock.monotonic())
 
     @parameterized.expand(
         [
@@ -144,7 +144,7 @@
         self.assertEqual(0.0, self.left_s())
 
     def left_s(self) -> float:
-        return self.reports.cooldowns.left_s(self.target)
+        return self.reports.cooldowns.remaining_s(self.target)
 
     def test_what_is_over_is_forgotten(self) -> None:
         self.say(cooldown_s=3.0)
--- a/tests/traffic/test_waiting.py
+++ b/tests/traffic/test_waiting.py
@@ -31,7 +31,7 @@
         async def main() -> t.Tuple[int, t.List[str], t.List[int]]:
             async with RawTarget(ok) as target, RawTarget(ok) as other:
                 path = Path([target.address, other.address])
-                path.forwarder._budget.take = mock.Mock(return_value=False)  # type: ignore
+                path.forwarder._budget.try_spend = mock.Mock(return_value=False)  # type: ignore
                 state = path.targets.by_id[TargetId("t0")]
                 request = path.request(kind, first="t0")
                 waited = path.pool if waits_for == "connection" else path.forwarder._permits
@@ -40,7 +40,7 @@
                 async def take_slowly(*arguments: t.Any) -> t.Any:
                     taken = await take(*arguments)
                     if arguments[0] is state.target:
-                        path.targets.reports.note(state, report, 0.0)
+                        path.targets.reports.record(state, report, 0.0)
                     return taken
 
                 with mock.patch.object(waited, "take", take_slowly):
