--- a/src/coralfall/defaults.py
+++ b/src/coralfall/defaults.py
@@ -298,8 +298,8 @@
 STEER_LOOKUP_TTL_S = 1.0
 #: Seconds for which a stopping entry still takes what callers send to it, and the most of the time
 #: until it is killed that this may take: what was taken last has to be finished in the rest.
-SHUTDOWN_SERVE_S = 3.0
-SHUTDOWN_SERVE_FRACTION = 0.5
+SHUTDOWN_ACCEPT_S = 3.0
+SHUTDOWN_ACCEPT_FRACTION = 0.5
 #: Multiple of their time for which some callers keep an answer to a look-up.
 LOOKUP_TTL_OVERRUN_FACTOR = 3.0
 #: Most addresses in an answer to a look-up; callers take no more.
--- a/src/coralfall/traffic/settings.py
+++ b/src/coralfall/traffic/settings.py
@@ -67,7 +67,7 @@
 
     def shutdown_accept_s(self) -> float:
         """Seconds for which a stopping entry still takes what callers send to it."""
-        return min(defaults.SHUTDOWN_SERVE_S, self.grace_s * defaults.SHUTDOWN_SERVE_FRACTION)
+        return min(defaults.SHUTDOWN_ACCEPT_S, self.grace_s * defaults.SHUTDOWN_ACCEPT_FRACTION)
 
     def lookup_ttl_s(self) -> float:
         """Seconds for which callers may keep an answer to a look-up; a stop waits for them."""
