--- a/tests/traffic/test_target_limits.py
+++ b/tests/traffic/test_target_limits.py
@@ -81,8 +81,8 @@
 
     def ask(self, asker: int, asked: int) -> None:
         """One exchange of news."""
-        answer = self.fleet[asked].exchange.answer(self.fleet[asker].exchange.news())
-        self.fleet[asker].exchange.take(answer, self.clock.monotonic())
+        answer = self.fleet[asked].exchange.build_reply(self.fleet[asker].exchange.build_update())
+        self.fleet[asker].exchange.merge(answer, self.clock.monotonic())
 
     def known(self, number: int) -> t.Optional[float]:
         return self.fleet[number].limits.rate_of(self.target)
@@ -139,7 +139,9 @@
         self.assertEqual((), self.fleet[0].limits.snapshot())
 
     def test_entries_of_the_version_before_are_understood_and_understand(self) -> None:
-        whole = msgspec.msgpack.decode(msgspec.msgpack.encode(self.fleet[0].exchange.news()))
+        whole = msgspec.msgpack.decode(
+            msgspec.msgpack.encode(self.fleet[0].exchange.build_update())
+        )
         before = whole[: 1 + GossipMessage.__struct_fields__.index("limits")]
         told = msgspec.msgpack.decode(msgspec.msgpack.encode(before), type=GossipMessage)
         self.assertEqual(((), 0), (told.limits, told.limits_sum))
--- a/tests/traffic/test_target_reports.py
+++ b/tests/traffic/test_target_reports.py
@@ -10,9 +10,9 @@
 from coralfall.placement.targets import TargetRegistry
 from coralfall.platform.names import HEADERS
 from coralfall.process.clock import ManualClock
-from coralfall.traffic.answer_report import AnswerReader
-from coralfall.traffic.connection import ServerAnswer
+from coralfall.traffic.connection import ServerResponse
 from coralfall.traffic.model import Target
+from coralfall.traffic.target_report_reader import TargetReportReader
 from tests.traffic.makers import make_target
 
 _NOW_S = 1_800_000_000.0
@@ -25,8 +25,8 @@
 
 
 def read(status: int, *headers: t.Tuple[bytes, bytes]) -> TargetReport:
-    reader = AnswerReader(HEADERS, ManualClock(_NOW_S))
-    return reader.read(ServerAnswer(status, list(headers), b""), make_target())
+    reader = TargetReportReader(HEADERS, ManualClock(_NOW_S))
+    return reader.read(ServerResponse(status, list(headers), b""), make_target())
 
 
 class ReaderTest(unittest.TestCase):
@@ -95,11 +95,11 @@
         self.assertEqual(expected, read(status, *headers).cooldown_s)
 
     def test_headers_without_end_are_not_all_remembered(self) -> None:
-        reader = AnswerReader(HEADERS, ManualClock())
+        reader = TargetReportReader(HEADERS, ManualClock())
         for number in range(1000):
-            answer = ServerAnswer(200, [(f"x-{number}".encode(), b"1")], b"")
+            answer = ServerResponse(200, [(f"x-{number}".encode(), b"1")], b"")
             reader.read(answer, make_target())
-        self.assertLessEqual(len(reader.unread), 32)
+        self.assertLessEqual(len(reader.unread_headers), 32)
 
 
 class ReportsTest(unittest.TestCase):
--- a/tests/traffic/test_tenants.py
+++ b/tests/traffic/test_tenants.py
@@ -12,19 +12,19 @@
 from coralfall.platform.names import HEADERS
 from coralfall.traffic.settings import BoundSettings
 from coralfall.traffic.steered_request import SteeredRequest
-from coralfall.traffic.tenants import Identification, TenantTable, regions_of
+from coralfall.traffic.tenants import TenantAuthenticator, TenantTable, allowed_regions_for
 from tests.traffic.entry_fixture import EntryFixture
 from tests.traffic.makers import COSTA, SIERRA, make_route, make_state, make_tenant
-from tests.traffic.raw_target import RawTarget, Turn
-from tests.traffic.test_forwarder import Path
+from tests.traffic.scripted_target import ReceivedRequest, ScriptedTarget
+from tests.traffic.test_forwarder import ForwarderHarness
 
 CREDENTIAL = HEADERS.credential
 TENANTS = (make_tenant("acme", keys=(b"a1", b"a2", b"k\xc3\xa9")), make_tenant("bolt"))
 Fields = t.List[t.Tuple[bytes, bytes]]
 
 
-def identification(known: EntryFixture) -> Identification:
-    return Identification(HEADERS, known.state_view, BoundSettings(config_s=2.0))
+def identification(known: EntryFixture) -> TenantAuthenticator:
+    return TenantAuthenticator(HEADERS, known.state_view, BoundSettings(config_s=2.0))
 
 
 def state_with(version: int, *tenants: t.Any) -> t.Any:
@@ -35,7 +35,7 @@
     """The tenant of a request with these keys, or what it is answered."""
     fields = [(CREDENTIAL, key) for key in keys]
     try:
-        tenant = identification(known).tenant_of(fields, make_route(public=public))
+        tenant = identification(known).authenticate(fields, make_route(public=public))
     except RequestError as error:
         return f"{error.status} {error.code}"
     except RefusedError as error:
@@ -110,7 +110,7 @@
         known.learn_state(1, "state/a", state_with(1, make_tenant(keys=(b"sesame",))))
         fields = [(CREDENTIAL, b"sesame-2")]
         with self.assertRaises(CoralfallError) as caught:
-            identification(known).tenant_of(fields, make_route())
+            identification(known).authenticate(fields, make_route())
         told = str(caught.exception.as_dict()) + repr(known.state_view.state)
         self.assertNotIn("sesame", told + repr(TenantTable(TENANTS)))
 
@@ -129,17 +129,17 @@
     ) -> None:
         route = make_route(allowed_regions=frozenset(of_route))
         tenant = make_tenant(allowed_regions=frozenset(of_tenant))
-        self.assertEqual(frozenset(expected), regions_of(route, tenant))
+        self.assertEqual(frozenset(expected), allowed_regions_for(route, tenant))
 
     def test_a_request_of_nobody_is_held_to_the_route_s(self) -> None:
         route = make_route(allowed_regions=frozenset((SIERRA,)))
-        self.assertEqual(frozenset((SIERRA,)), regions_of(route, None))
+        self.assertEqual(frozenset((SIERRA,)), allowed_regions_for(route, None))
 
     def test_none_in_common_is_refused(self) -> None:
         route = make_route(allowed_regions=frozenset((SIERRA,)))
         tenant = make_tenant(allowed_regions=frozenset((COSTA,)))
         with self.assertRaises(RefusedError) as caught:
-            regions_of(route, tenant)
+            allowed_regions_for(route, tenant)
         self.assertEqual("no-region", caught.exception.fields["reason"])
 
 
@@ -157,13 +157,13 @@
     ) -> None:
         heads: t.List[str] = []
 
-        async def answer(turn: Turn) -> None:
-            heads.append(turn.head.decode("latin-1"))
-            await turn.answer()
+        async def answer(received: ReceivedRequest) -> None:
+            heads.append(received.head.decode("latin-1"))
+            await received.answer()
 
         async def main() -> None:
-            async with RawTarget(answer) as target:
-                path = Path([target.address])
+            async with ScriptedTarget(answer) as target:
+                path = ForwarderHarness([target.address])
                 request = path.request("unsafe", body=b"x")
                 request.headers = [*request.headers, (CREDENTIAL, b"sesame"), *fields]
                 request.tenant = make_tenant(tenant) if tenant is not None else None
@@ -177,13 +177,13 @@
 
     def test_only_targets_in_its_regions_get_it(self) -> None:
         async def main() -> t.List[str]:
-            async with RawTarget(lambda turn: turn.answer()) as target:
-                path = Path([target.address])
+            async with ScriptedTarget(lambda received: received.answer()) as target:
+                path = ForwarderHarness([target.address])
                 request = path.request("unsafe", body=b"x")
                 other = SteeredRequest(
                     *("POST", "/p/1", "a.example", request.headers, None, request.route),
                     *(request.service, "id2", b"object", request.deadline),
-                    regions=frozenset((COSTA,)),
+                    allowed_regions=frozenset((COSTA,)),
                 )
                 replies = [await path.forward(request), await path.forward(other)]
                 return [reply.reason for reply in replies]
--- a/tests/traffic/test_waiting.py
+++ b/tests/traffic/test_withdrawal_while_waiting.py
@@ -10,8 +10,8 @@
 
 from coralfall.ids import TargetId
 from coralfall.placement.target_reports import TargetReport
-from tests.traffic.raw_target import RawTarget
-from tests.traffic.test_forwarder import Path, ok
+from tests.traffic.scripted_target import ScriptedTarget
+from tests.traffic.test_forwarder import ForwarderHarness, ok
 
 #: What the target says meanwhile, and the result of the send that was given up.
 _REPORTS = (
@@ -29,24 +29,24 @@
         report, result = said
 
         async def main() -> t.Tuple[int, t.List[str], t.List[int]]:
-            async with RawTarget(ok) as target, RawTarget(ok) as other:
-                path = Path([target.address, other.address])
-                path.forwarder._budget.try_spend = mock.Mock(return_value=False)  # type: ignore
-                state = path.targets.by_id[TargetId("t0")]
-                request = path.request(kind, first="t0")
-                waited = path.pool if waits_for == "connection" else path.forwarder._permits
-                take = waited.take
+            async with ScriptedTarget(ok) as target, ScriptedTarget(ok) as other:
+                harness = ForwarderHarness([target.address, other.address])
+                harness.forwarder._budget.try_spend = mock.Mock(return_value=False)  # type: ignore
+                state = harness.targets.by_id[TargetId("t0")]
+                request = harness.request(kind, first="t0")
+                waited = harness.pool if waits_for == "connection" else harness.forwarder._permits
+                acquire = waited.acquire
 
                 async def take_slowly(*arguments: t.Any) -> t.Any:
-                    taken = await take(*arguments)
+                    taken = await acquire(*arguments)
                     if arguments[0] is state.target:
-                        path.targets.reports.record(state, report, 0.0)
+                        harness.targets.reports.record(state, report, 0.0)
                     return taken
 
                 with mock.patch.object(waited, "take", take_slowly):
-                    reply = await path.forward(request)
-                path.pool.close()
-                results = [send.result for send in request.sends]
-                return reply.status, results, [len(target.turns), len(other.turns)]
+                    reply = await harness.forward(request)
+                harness.pool.close()
+                results = [send.result for send in request.attempts]
+                return reply.status, results, [len(target.received), len(other.received)]
 
         self.assertEqual((200, [result, "200"], [0, 1]), asyncio.run(main()))
