--- a/tests/mixed_builds/steer.py
+++ b/tests/mixed_builds/steer.py
@@ -8,9 +8,14 @@
 
 from tests.mixed_builds.builds import NEW, OLD, Builds, Choice, Report, even_runs, rolling
 from tests.platform_adapter.standins import InstanceStandin
-from tests.platform_adapter.test_crashing_request import DEADLY, PATH, CrashingRequestTest, Scene
-from tests.platform_adapter.test_processes import EntryProcess, Installation, play
-from tests.platform_adapter.test_target_reports import Callers, home_of
+from tests.platform_adapter.test_crashing_request import (
+    CRASHING_BODY,
+    PATH,
+    CrashingRequestTest,
+    Scenario,
+)
+from tests.platform_adapter.test_processes import EntryProcess, Installation, run_scenario
+from tests.platform_adapter.test_target_reports import Callers, find_home
 from tests.soak.run import run
 
 #: Seconds of trouble in a run of the soak, and how many runs at a time, of four entries each.
@@ -41,7 +46,7 @@
 def soak(builds: Builds, report: Report, seeds: t.Sequence[int], folder: pathlib.Path) -> None:
     """Play seeds of the soak in all kinds; the soak's rules judge."""
 
-    async def all_of(choice: Choice, deadly: bool, name: str) -> None:
+    async def installation(choice: Choice, deadly: bool, name: str) -> None:
         turns = asyncio.Semaphore(_SOAKS_AT_A_TIME)
 
         async def one(seed: int) -> None:
@@ -59,7 +64,7 @@
 
     for name, choice, deadly in _KINDS:
         builds.starts.clear()
-        asyncio.run(all_of(choice, deadly, name))
+        asyncio.run(installation(choice, deadly, name))
         starts = [f"{builds.starts[build]} starts of the {build} build" for build in (OLD, NEW)]
         unused = [build for build in (OLD, NEW) if not builds.starts[build]]
         report.tell(f"steer: builds that ran, {name}", unused, ", ".join(starts))
@@ -68,7 +73,7 @@
 def knowledge(builds: Builds, report: Report, folder: pathlib.Path) -> None:
     """Tell an entry of one build and look at an entry of the other one, in both directions."""
     for build in (OLD, NEW):
-        for name, scene, tenants in (
+        for name, scenario, tenants in (
             ("quota of tenants", _quota, _TENANTS),
             ("limit of a target", _limit, None),
             ("departure", _departure, None),
@@ -79,30 +84,32 @@
                 report.check(f"steer: {name}, told to the {build} build"),
                 builds.chosen(even_runs(build)),
             ):
-                play(_kept(scene, place), entries=2, tenants=tenants)
+                run_scenario(_kept(scenario, place), entries=2, tenants=tenants)
         place = folder / f"told-quarantine-{build}"
         with (
             report.check(f"steer: quarantined request, told to the {build} build"),
             builds.chosen(even_runs(build)),
         ):
-            CrashingRequestTest().play(lambda scene, place=place: _quarantine(scene, place))
+            CrashingRequestTest().run_scenario(
+                lambda scenario, place=place: _quarantine(scenario, place)
+            )
 
 
-def _kept(scene: Told, place: pathlib.Path) -> Told:
+def _kept(scenario: Told, place: pathlib.Path) -> Told:
     """A scene whose entries' logs are kept."""
 
-    async def kept(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
+    async def kept(installation: Installation, instances: t.List[InstanceStandin]) -> None:
         try:
-            await scene(all_of, instances)
+            await scenario(installation, instances)
         finally:
-            _keep_logs(all_of, place)
+            _keep_logs(installation, place)
 
     return kept
 
 
-def _keep_logs(all_of: Installation, place: pathlib.Path) -> None:
+def _keep_logs(installation: Installation, place: pathlib.Path) -> None:
     place.mkdir()
-    for entry in all_of.entries:
+    for entry in installation.entries:
         shutil.copy(entry.log, place)
 
 
@@ -112,11 +119,11 @@
     return [line for line in lines if all(f" {part}" in line for part in parts)]
 
 
-async def _until_line(all_of: Installation, entry: EntryProcess, *parts: str) -> None:
+async def _until_line(installation: Installation, entry: EntryProcess, *parts: str) -> None:
     async def logged() -> bool:
         return bool(_lines(entry, *parts))
 
-    await all_of.wait_until(f"{entry.name} logs {' '.join(parts)}", logged)
+    await installation.wait_until(f"{entry.name} logs {' '.join(parts)}", logged)
 
 
 def _expect(holds: bool, otherwise: t.Any) -> None:
@@ -124,14 +131,14 @@
         raise AssertionError(otherwise)
 
 
-async def _quota(all_of: Installation, _instances: t.List[InstanceStandin]) -> None:
+async def _quota(installation: Installation, _instances: t.List[InstanceStandin]) -> None:
     """Each entry counts for some tenants, and the other one asks it for permits."""
-    first, second = all_of.entries
+    first, second = installation.entries
 
     async def both_ask() -> bool:
         for number in range(len(_TENANTS)):
-            for entry in all_of.entries:
-                await all_of.request(entry, key=f"sesame-{number}")
+            for entry in installation.entries:
+                await installation.request(entry, key=f"sesame-{number}")
         asked = [
             _lines(entry, "reason=over-limit", f"quota={owner.name}:")
             for entry, owner in ((first, second), (second, first))
@@ -139,50 +146,50 @@
         return all(asked)
 
     # An entry that started alone counts for all tenants for a while.
-    await all_of.wait_until("each entry asks the other one", both_ask)
+    await installation.wait_until("each entry asks the other one", both_ask)
     served = dict.fromkeys(range(len(_TENANTS)), 0)
     for number in served:
         for turn in range(_ASKED):
-            entry = all_of.entries[turn % 2]
-            status, _, _ = await all_of.request(entry, key=f"sesame-{number}")
+            entry = installation.entries[turn % 2]
+            status, _, _ = await installation.request(entry, key=f"sesame-{number}")
             served[number] += status == 200
             _expect(status in (200, 429), f"{entry.name} answered {status}")
     _expect(max(served.values()) <= _MOST_SERVED, f"served of each tenant: {served}")
-    for entry in all_of.entries:
+    for entry in installation.entries:
         _expect(not _lines(entry, "event=quota.owner-silent"), f"{entry.name}: an owner was silent")
 
 
-async def _limit(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
+async def _limit(installation: Installation, instances: t.List[InstanceStandin]) -> None:
     """A limit that one entry read binds both, and both get permits."""
-    teller, listener = all_of.entries
-    home = await home_of(Callers(all_of, all_of.entries), instances)
+    teller, listener = installation.entries
+    home = await find_home(Callers(installation, installation.entries), instances)
     home.limit_per_s = _LIMIT_PER_S
-    await Callers(all_of, [teller]).send(0.5)
+    await Callers(installation, [teller]).send(0.5)
     limit = ("event=target.limit", f"target={home.instance_id}", f"rate_per_s={_LIMIT_PER_S:g}")
-    await _until_line(all_of, listener, *limit, "evidence=told")
-    _, text = await all_of.get(listener.ports["metrics"], "/metrics")
+    await _until_line(installation, listener, *limit, "evidence=told")
+    _, text = await installation.get(listener.ports["metrics"], "/metrics")
     _expect(b"coralfall_targets_limited 1.0" in text, "the metric does not show the limit")
-    callers = Callers(all_of, all_of.entries)
+    callers = Callers(installation, installation.entries)
     await callers.send(_WINDOW_S)
     before = len(home.executed_ids)
     await callers.send(_WINDOW_S)
     came = [request_id.partition("-")[0] for request_id in home.executed_ids[before:]]
-    sent = {entry.name: came.count(entry.name) for entry in all_of.entries}
+    sent = {entry.name: came.count(entry.name) for entry in installation.entries}
     _expect(all(sent.values()) and len(came) <= _MOST_SENT, f"sent in a window: {sent}")
     _expect(set(callers.statuses) == {200}, f"statuses {set(callers.statuses)}")
 
 
-async def _departure(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
+async def _departure(installation: Installation, instances: t.List[InstanceStandin]) -> None:
     """While the store is away, a target that told one entry of its leaving gets none of both."""
-    teller, listener = all_of.entries
-    home = await home_of(Callers(all_of, all_of.entries), instances)
-    all_of.store.mode = "silent"
+    teller, listener = installation.entries
+    home = await find_home(Callers(installation, installation.entries), instances)
+    installation.store.mode = "silent"
     home.leaving = True
-    await Callers(all_of, [teller]).send(0.5)
+    await Callers(installation, [teller]).send(0.5)
     leaving = ("event=target.leaving", f"target={home.instance_id}", "evidence=told")
-    await _until_line(all_of, listener, *leaving)
+    await _until_line(installation, listener, *leaving)
     before = len(home.executed_ids)
-    callers = Callers(all_of, all_of.entries)
+    callers = Callers(installation, installation.entries)
     await callers.send(1.0)
     _expect(
         home.executed_ids[before:] == [],
@@ -191,38 +198,38 @@
     _expect(set(callers.statuses) == {200}, f"statuses {set(callers.statuses)}")
 
 
-async def _cooldown(all_of: Installation, instances: t.List[InstanceStandin]) -> None:
+async def _cooldown(installation: Installation, instances: t.List[InstanceStandin]) -> None:
     """A cooldown binds the entry that was rejected, and no other: each build keeps its own."""
-    teller, listener = all_of.entries
-    home = await home_of(Callers(all_of, all_of.entries), instances)
+    teller, listener = installation.entries
+    home = await find_home(Callers(installation, installation.entries), instances)
     home.cooldown_s = _COOLDOWN_S
     before = len(home.received_ids)
-    teller_callers = Callers(all_of, [teller])
+    teller_callers = Callers(installation, [teller])
     await teller_callers.send(_COOLDOWN_S / 2)
     cooldown = ("event=target.cooldown", f"target={home.instance_id}")
-    await _until_line(all_of, teller, *cooldown)
+    await _until_line(installation, teller, *cooldown)
     _expect(not _lines(listener, *cooldown), "the other entry took in a cooldown not its own")
-    listener_callers = Callers(all_of, [listener])
+    listener_callers = Callers(installation, [listener])
     await listener_callers.send(_COOLDOWN_S / 2)
-    await _until_line(all_of, listener, *cooldown)
+    await _until_line(installation, listener, *cooldown)
     came = [request_id.partition("-")[0] for request_id in home.received_ids[before:]]
-    sent = {entry.name: came.count(entry.name) for entry in all_of.entries}
+    sent = {entry.name: came.count(entry.name) for entry in installation.entries}
     _expect(min(sent.values()) > 0 and max(sent.values()) <= _MOST_IN_COOLDOWN, f"sent: {sent}")
     statuses = {*teller_callers.statuses, *listener_callers.statuses}
     _expect(statuses == {200}, f"statuses {statuses}")
 
 
-async def _quarantine(scene: Scene, place: pathlib.Path) -> None:
+async def _quarantine(scenario: Scenario, place: pathlib.Path) -> None:
     """A request that ended targets at entries of one build is refused by those of the other one."""
-    all_of = scene.installation
+    installation = scenario.installation
     try:
-        await scene.until_ended(all_of.entries[::2], 3)
-        for entry in all_of.entries[1::2]:
-            await _until_line(all_of, entry, "event=request.quarantined")
-        before = scene.arrivals_since(0.0)
-        for entry in all_of.entries[1::2]:
-            _, _, request_id = await all_of.request(entry, PATH, DEADLY)
-            await _until_line(all_of, entry, f"id={request_id}", "reason=quarantined")
-        _expect(scene.arrivals_since(0.0) == before, "the request reached a target")
+        await scenario.send_until_crashes(installation.entries[::2], 3)
+        for entry in installation.entries[1::2]:
+            await _until_line(installation, entry, "event=request.quarantined")
+        before = scenario.arrivals_since(0.0)
+        for entry in installation.entries[1::2]:
+            _, _, request_id = await installation.request(entry, PATH, CRASHING_BODY)
+            await _until_line(installation, entry, f"id={request_id}", "reason=quarantined")
+        _expect(scenario.arrivals_since(0.0) == before, "the request reached a target")
     finally:
-        _keep_logs(all_of, place)
+        _keep_logs(installation, place)
