--- a/src/coralfall/placement/affinity.py
+++ b/src/coralfall/placement/affinity.py
@@ -207,7 +207,7 @@
                 if state.load() < max_load * state.target.slots:
                     return self._reserve(state, key, route)
         if not in_time:
-            message = f"no target of {service} for this object would answer before the deadline"
+            message = f"no target of {service} for this object would answer in time"
             retry_after_s = self._retry_after_s(candidates)
             raise RefusedError(message, retry_after_s, service=service, reason="no-time")
         message = f"all targets of {service} for this object are full"
@@ -237,18 +237,16 @@
         limits_s = [self.limits.wait_s(state.target, state.has_cached(key)) for state in states]
         waits_s = [max(pair) for pair in zip(cooldowns_s, limits_s, strict=True)]
         if any(cooldowns_s) and all(waits_s):
-            message = (
-                f"all {len(states)} targets of {service} are in a cooldown or at their rate limits"
-            )
+            message = f"{len(states)} targets of {service} take no requests for a while"
             retry_after_s = max(defaults.STEER_RETRY_AFTER_S, min(waits_s))
             return RefusedError(message, retry_after_s, service=service, reason=COOLDOWN)
         limited = [wait_s for wait_s in limits_s if wait_s > 0]
         if not limited:
-            message = f"no target of {service} is available"
+            message = f"no target of {service} can be used now"
             return RefusedError(
                 message, defaults.STEER_RETRY_AFTER_S, service=service, reason="no-target"
             )
-        message = f"{len(limited)} targets of {service} are at their rate limits"
+        message = f"{len(limited)} targets of {service} have had what their limits allow"
         retry_after_s = min(max(defaults.STEER_RETRY_AFTER_S, min(limited)), _MAX_RETRY_AFTER_S)
         return RefusedError(message, retry_after_s, service=service, reason="limited")
 
