--- a/tests/cluster/test_conversation.py
+++ b/tests/cluster/test_conversation.py
@@ -169,8 +169,8 @@
         heartbeat = make_heartbeat(7, acknowledged=stated, idle={"catalogo": 2})
         for asked_at in (None, self.clock.now):
             with (
-                unittest.mock.patch.object(self.node.slots, "take_acks") as take,
-                unittest.mock.patch.object(self.node.borrower, "heard") as heard,
+                unittest.mock.patch.object(self.node.slots, "apply_acks") as take,
+                unittest.mock.patch.object(self.node.borrower, "record_heartbeat") as heard,
             ):
                 self.told(heartbeat, asked_at)
             take.assert_called_once_with([Ack(PEER.entry_id, PEER.incarnation, Revision(taken))])
